--- a/scale/src/deployment.rs
+++ b/capacity/src/deployment.rs
@@ -2,7 +2,9 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use topazwind::interface::*;
+use rate_limiting_gateway::event::{Endpoint, EndpointState, Request};
+use rate_limiting_gateway::ids::{CounterKey, Millis, PlanId, RequestId, ServerId, TenantId};
+use rate_limiting_gateway::settings::{Class, Plan, Settings};
 
 /// Random numbers that are the same in each run.
 pub struct Dice(Pcg64Mcg);
@@ -37,11 +39,11 @@
     /// Servers, all in one list.
     pub servers: usize,
     /// Customers.
-    pub customers: usize,
+    pub tenants: usize,
     /// Requests a second over all limiters.
     pub rate: f64,
     /// Limiters that one customer comes in through; 0: all of them.
-    pub spread: usize,
+    pub gateway_count: usize,
     /// Zones.
     pub zones: usize,
 }
@@ -49,8 +51,8 @@
 impl Default for Deployment {
     /// The operators' plan for two years.
     fn default() -> Self {
-        let (gateways, servers, customers) = (530, 5_700, 28_000);
-        Deployment { gateways, servers, customers, rate: 140_000.0, spread: 0, zones: 6 }
+        let (gateways, servers, tenants) = (530, 5_700, 28_000);
+        Deployment { gateways, servers, tenants, rate: 140_000.0, gateway_count: 0, zones: 6 }
     }
 }
 
@@ -68,11 +70,11 @@
 
 impl Deployment {
     /// The limiters that one customer comes in through.
-    pub fn spread(&self) -> usize {
-        if self.spread == 0 {
+    pub fn gateway_count(&self) -> usize {
+        if self.gateway_count == 0 {
             self.gateways
         } else {
-            self.spread
+            self.gateway_count
         }
     }
 
@@ -83,49 +85,53 @@
 
     /// What each limiter is told at its start.
     pub fn settings(&self) -> Settings {
-        let class = Class { aim: AIM, deadline: DEADLINE, worth: 1.0, ..Class::default() };
+        let class =
+            Class { latency_objective: AIM, deadline: DEADLINE, priority_weight: 1.0, ..Class::default() };
         let plan = |i: usize| {
             let rate = LEAST_RATE * PLAN_STEP.powi(i as i32);
-            Plan { rate, burst: BURST * rate, price: 1.0, over_cost: 1.0, ..Plan::default() }
+            Plan {
+                rate,
+                burst: BURST * rate,
+                priority_multiplier: 1.0,
+                overage_penalty: 1.0,
+                ..Plan::default()
+            }
         };
         Settings {
-            gateways: self.gateways as f64,
+            gateway_count: self.gateways as f64,
             classes: vec![class],
             plans: (0..PLANS).map(plan).collect(),
             max_units: 1.0,
             max_attempts: 3,
-            cancelling: true,
-            retry_after: true,
+            cancellation_allowed: true,
             max_retry_after: 1000.0,
             counter: true,
             counter_timeout: 30.0,
-            cold_start: 0.2,
-            warm_after: 10_000.0,
-            overload_factor: 2.0,
-            tip_after: 2000.0,
+            slow_start_capacity: 0.2,
+            slow_start_window: 10_000.0,
             ..Settings::default()
         }
     }
 
     /// The whole list of servers.
-    pub fn entries(&self) -> Vec<ServerEntry> {
-        (0..self.servers).map(|n| self.entry(n, ServerState::Ready, 0.0)).collect()
+    pub fn entries(&self) -> Vec<Endpoint> {
+        (0..self.servers).map(|n| self.entry(n, EndpointState::Ready, 0.0)).collect()
     }
 
     /// One line of the list.
-    pub fn entry(&self, n: usize, state: ServerState, started: Millis) -> ServerEntry {
+    pub fn entry(&self, n: usize, state: EndpointState, started: Millis) -> Endpoint {
         let (zone, cell) = ((n % self.zones) as u16, (n / 8) as u16);
-        ServerEntry { server: ServerId(n as u32 + 1), weight: 1.0, zone, cell, started, state }
+        Endpoint { server: ServerId(n as u32 + 1), weight: 1.0, zone, cell, started, state }
     }
 
     /// The customers by size, and what they ask.
     pub fn demand(&self) -> Demand {
         // Zipf with exponent 1: the n-th largest asks an n-th of the largest.
-        let harmonic: f64 = (1..=self.customers).map(|n| 1.0 / n as f64).sum();
+        let harmonic: f64 = (1..=self.tenants).map(|n| 1.0 / n as f64).sum();
         let mut sum = 0.0;
-        let mut upto = Vec::with_capacity(self.customers);
-        let mut plans = Vec::with_capacity(self.customers);
-        for n in 1..=self.customers {
+        let mut upto = Vec::with_capacity(self.tenants);
+        let mut plans = Vec::with_capacity(self.tenants);
+        for n in 1..=self.tenants {
             let share = 1.0 / n as f64 / harmonic;
             sum += share;
             upto.push(sum);
@@ -134,7 +140,7 @@
             let over = usize::from(n % OVER == 0);
             plans.push(PlanId(steps.saturating_sub(over).min(PLANS - 1)));
         }
-        Demand { upto, plans, spread: self.spread(), gateways: self.gateways }
+        Demand { upto, plans, gateway_count: self.gateway_count(), gateways: self.gateways }
     }
 }
 
@@ -142,7 +148,7 @@
 pub struct Demand {
     upto: Vec<f64>,
     plans: Vec<PlanId>,
-    spread: usize,
+    gateway_count: usize,
     gateways: usize,
 }
 
@@ -154,26 +160,26 @@
     }
 
     /// The limiter that it comes to: any of its customer's set.
-    pub fn gateway(&self, customer: usize, dice: &mut Dice) -> usize {
-        (customer.wrapping_mul(7919) + dice.below(self.spread)) % self.gateways
+    pub fn gateway(&self, tenant: usize, dice: &mut Dice) -> usize {
+        (tenant.wrapping_mul(7919) + dice.below(self.gateway_count)) % self.gateways
     }
 
     /// A request of a customer.
-    pub fn request(&self, id: u32, customer: usize) -> Request {
+    pub fn request(&self, id: u32, tenant: usize) -> Request {
         Request {
             id: RequestId(id),
-            customer: CustomerId(customer as u64 * 7919 + 1),
-            plan: self.plans[customer],
+            tenant: TenantId(tenant as u64 * 7919 + 1),
+            plan: self.plans[tenant],
             units: 1.0,
             time_left: DEADLINE,
-            spread: self.spread as f64,
+            gateway_count: self.gateway_count as f64,
             ..Request::default()
         }
     }
 }
 
 /// Bytes of a call to the counter and of its answer, as they stand on the wire (PROTOCOL, the counter).
-pub fn call_bytes(name: CountName, add: f64, ttl: Millis, total: f64) -> usize {
+pub fn call_bytes(name: CounterKey, add: f64, ttl: Millis, total: f64) -> usize {
     let call = format!("bump {:016x} {add} {}\r\n", name.0, ttl as u64);
     call.len() + format!("ok {total}\r\n").len()
 }
--- a/scale/src/lib.rs
+++ b/capacity/src/lib.rs
@@ -1,13 +1,13 @@
 //! What the limiter costs at the size of a fleet.
 //!
-//! [`module`] measures one decision module by size, [`memory`] what it keeps, and [`hollow`] plays a whole fleet
+//! [`policy_cost`] measures one decision module by size, [`memory`] what it keeps, and [`simulated_fleet`] plays a whole fleet
 //! of them on one simulated clock; [`process`] starts real limiters. All time is processor time, which a busy machine stretches less than the clock
 //! on the wall; [`measure`] repeats, takes medians and fits slopes.
 
 pub mod deployment;
-pub mod hollow;
 pub mod measure;
 pub mod memory;
-pub mod module;
+pub mod policy_cost;
 pub mod process;
-pub mod standins;
+pub mod simulated_fleet;
+pub mod stub_peers;
--- a/scale/src/main.rs
+++ b/capacity/src/main.rs
@@ -1,11 +1,11 @@
 //! Measures what the limiter costs at the size of a fleet. `scale help` tells the commands.
 
 use clap::{Parser, Subcommand};
+use gateway_capacity::deployment::Deployment;
+use gateway_capacity::measure::Report;
+use gateway_capacity::simulated_fleet::{self, Play, Trouble};
+use gateway_capacity::{memory, policy_cost, process};
 use std::path::PathBuf;
-use topazwind_scale::deployment::Deployment;
-use topazwind_scale::hollow::{self, Play, Trouble};
-use topazwind_scale::measure::Report;
-use topazwind_scale::{memory, module, process};
 
 #[derive(Parser)]
 #[command(about = "What the limiter costs at the size of a fleet")]
@@ -20,7 +20,7 @@
 #[derive(Subcommand)]
 enum Command {
     /// Processor time of one decision module, by servers, limiters and customers.
-    Module {
+    PolicyCost {
         #[arg(long, default_value_t = 5)]
         repeats: usize,
         /// Simulated seconds of each.
@@ -33,19 +33,19 @@
         repeats: usize,
     },
     /// A whole fleet on one simulated clock.
-    Hollow {
+    SimulatedFleet {
         #[arg(long, default_value_t = 530)]
         gateways: usize,
         #[arg(long, default_value_t = 5_700)]
         servers: usize,
         #[arg(long, default_value_t = 28_000)]
-        customers: usize,
+        tenants: usize,
         /// Requests a second of the whole fleet.
         #[arg(long, default_value_t = 140_000.0)]
         rate: f64,
         /// Limiters that one customer comes in through; 0: all.
         #[arg(long, default_value_t = 0)]
-        spread: usize,
+        gateway_count: usize,
         #[arg(long, default_value_t = 4.0)]
         seconds: f64,
         /// Calls that the counter bears, as a share of the requests; 0: all.
@@ -62,7 +62,7 @@
         #[arg(value_enum)]
         part: Part,
         /// The limiter's program.
-        #[arg(long, default_value = "target/release/oatbank")]
+        #[arg(long, default_value = "target/release/rate-limiting-gateway")]
         limiter: PathBuf,
         #[arg(long, default_value_t = 5)]
         repeats: usize,
@@ -90,12 +90,22 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let arguments = Arguments::parse();
     let report: Report = match arguments.command {
-        Command::Module { repeats, seconds } => module::measure(repeats, seconds),
+        Command::PolicyCost { repeats, seconds } => policy_cost::measure(repeats, seconds),
         Command::Memory { repeats } => memory::measure(repeats)?,
-        Command::Hollow { gateways, servers, customers, rate, spread, seconds, bears, trouble, seed } => {
+        Command::SimulatedFleet {
+            gateways,
+            servers,
+            tenants,
+            rate,
+            gateway_count,
+            seconds,
+            bears,
+            trouble,
+            seed,
+        } => {
             let zones = Deployment::default().zones;
-            let deployment = Deployment { gateways, servers, customers, rate, spread, zones };
-            hollow::play(&Play { deployment, seconds, bears, trouble, seed })
+            let deployment = Deployment { gateways, servers, tenants, rate, gateway_count, zones };
+            simulated_fleet::play(&Play { deployment, seconds, bears, trouble, seed })
         }
         Command::Process { part, limiter, repeats, servers, seconds } => match part {
             Part::Lists => process::lists(&limiter, repeats)?,
--- a/scale/src/measure.rs
+++ b/capacity/src/measure.rs
@@ -45,11 +45,11 @@
     let n = points.len() as f64;
     let mean = |f: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>() / n;
     let (x, y) = (mean(&|p| p.0), mean(&|p| p.1));
-    let spread: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    let slope = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / spread;
+    let gateway_count: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
+    let slope = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / gateway_count;
     let base = y - slope * x;
     let off: f64 = points.iter().map(|p| (p.1 - base - slope * p.0).powi(2)).sum();
-    Fit { base, slope, error: (off / (n - 2.0).max(1.0) / spread).sqrt() }
+    Fit { base, slope, error: (off / (n - 2.0).max(1.0) / gateway_count).sqrt() }
 }
 
 /// One figure over several sizes.
--- a/scale/src/memory.rs
+++ b/capacity/src/memory.rs
@@ -2,9 +2,12 @@
 
 use crate::deployment::Deployment;
 use crate::measure::Report;
+use rate_limiting_gateway::action::Action;
+use rate_limiting_gateway::event::{EndpointUpdate, Event, Outcome, Request};
+use rate_limiting_gateway::ids::PlanId;
+use rate_limiting_gateway::policy::Gateway;
+use rate_limiting_gateway::settings::Settings;
 use std::process::Command;
-use topazwind::interface::*;
-use topazwind::logic::Gateway;
 
 /// Bytes of a page, as `/proc` counts them on the machines this runs on.
 const PAGE: usize = 4096;
@@ -31,7 +34,8 @@
 /// Bytes that so many of a kind take, for one module.
 pub fn one(kind: &str, many: usize) -> f64 {
     let plan = Deployment::default();
-    let full = |d: &Deployment| Event::Servers { update: ListUpdate::Full, entries: d.entries() };
+    let full =
+        |d: &Deployment| Event::EndpointsChanged { update: EndpointUpdate::Complete, entries: d.entries() };
     let mut actions = Vec::new();
     if kind == "server" {
         let deployment = Deployment { servers: many, ..plan };
@@ -47,9 +51,9 @@
         return grown as f64 / all.len() as f64;
     }
     // One limiter alone, so that the concurrency limit lets all be open.
-    let customers = if kind == "customer" { many } else { 1 };
+    let tenants = if kind == "customer" { many } else { 1 };
     let servers = if kind == "customer" { 20 } else { 2_000 };
-    let deployment = Deployment { gateways: 1, customers, servers, ..plan };
+    let deployment = Deployment { gateway_count: 1, tenants, servers, ..plan };
     let settings = Settings { counter: false, ..deployment.settings() };
     let demand = deployment.demand();
     let mut gateway = Gateway::new(settings, 1);
@@ -58,13 +62,13 @@
     let before = now_resident();
     for n in 0..many {
         let now = 1.0 + n as f64 / 1000.0;
-        let request = Request { plan: PlanId(usize::MAX), ..demand.request(n as u32, n % customers) };
+        let request = Request { plan: PlanId(usize::MAX), ..demand.request(n as u32, n % tenants) };
         let request = if kind == "customer" { demand.request(n as u32, n) } else { request };
         gateway.handle(now, Event::Request(request), &mut actions);
         for action in std::mem::take(&mut actions) {
-            if let (Action::Send { id, server, .. }, "customer") = (action, kind) {
-                let (outcome, complete, took, settled, load) = (Outcome::Ok, true, 20.0, 0.0, Vec::new());
-                let ended = Event::Ended { id, attempt: 0, server, outcome, complete, took, settled, load };
+            if let (Action::Forward { id, server, .. }, "customer") = (action, kind) {
+                let (outcome, complete, elapsed) = (Outcome::Ok, true, 20.0);
+                let ended = Event::AttemptEnded { id, attempt: 0, server, outcome, complete, elapsed };
                 gateway.handle(now, ended, &mut actions);
                 actions.clear();
             }
--- a/scale/src/module.rs
+++ b/capacity/src/policy_cost.rs
@@ -4,10 +4,12 @@
 use crate::deployment::{call_bytes, Demand, Deployment, Dice};
 use crate::measure::Report;
 use cpu_time::ThreadTime;
+use rate_limiting_gateway::action::Action;
+use rate_limiting_gateway::event::{Endpoint, EndpointState, EndpointUpdate, Event, Outcome};
+use rate_limiting_gateway::ids::{CounterKey, Millis, RequestId, ServerId};
+use rate_limiting_gateway::policy::Gateway;
 use std::collections::HashMap;
 use std::time::Duration;
-use topazwind::interface::*;
-use topazwind::logic::Gateway;
 
 /// Events are fed in slices of this length, ms: the period of the housekeeping.
 const SLICE: Millis = 20.0;
@@ -99,11 +101,11 @@
     now: Millis,
     slice: u64,
     next: u32,
-    totals: HashMap<CountName, f64>,
+    totals: HashMap<CounterKey, f64>,
     /// Attempts by the slice in which they end.
     out: HashMap<u64, Vec<(RequestId, ServerId, u8)>>,
     tries: HashMap<RequestId, u8>,
-    calls: Vec<(CountName, f64)>,
+    calls: Vec<(CounterKey, f64)>,
     share: f64,
     clock: Duration,
 }
@@ -125,30 +127,30 @@
             share: deployment.share(),
             clock: clock_cost(),
         };
-        bench.list(ListUpdate::Full, deployment.entries());
+        bench.list(EndpointUpdate::Complete, deployment.entries());
         bench
     }
 
     /// Hands on news of the list; the time it took.
-    pub fn list(&mut self, update: ListUpdate, entries: Vec<ServerEntry>) -> Duration {
+    pub fn list(&mut self, update: EndpointUpdate, entries: Vec<Endpoint>) -> Duration {
         let mut actions = Vec::new();
         let since = ThreadTime::now();
-        self.gateway.handle(self.now, Event::Servers { update, entries }, &mut actions);
-        let took = since.elapsed().saturating_sub(self.clock);
+        self.gateway.handle(self.now, Event::EndpointsChanged { update, entries }, &mut actions);
+        let elapsed = since.elapsed().saturating_sub(self.clock);
         self.carry_out(actions, &mut Costs::default());
-        took
+        elapsed
     }
 
     fn carry_out(&mut self, actions: Vec<Action>, costs: &mut Costs) {
         for action in actions {
             match action {
-                Action::Send { id, server, .. } => {
+                Action::Forward { id, server, .. } => {
                     costs.attempts += 1;
                     let tries = self.tries.entry(id).or_default();
                     self.out.entry(self.slice + WORK).or_default().push((id, server, *tries));
                     *tries += 1;
                 }
-                Action::Count { name, add, ttl } => {
+                Action::IncrementCounter { key: name, add, ttl } => {
                     let total = self.totals.entry(name).or_default();
                     *total += add;
                     costs.calls += 1;
@@ -174,7 +176,7 @@
     }
 
     /// The next slice: answers of servers and the counter, requests, housekeeping.
-    fn step(&mut self, customers: Option<usize>, costs: &mut Costs) {
+    fn step(&mut self, tenants: Option<usize>, costs: &mut Costs) {
         (self.slice, self.now) = (self.slice + 1, self.now + SLICE);
         let (mut good, mut bad) = (Vec::new(), Vec::new());
         for (i, (id, server, attempt)) in
@@ -182,18 +184,19 @@
         {
             let fails = attempt == 0 && (self.slice as usize * 31 + i) % FAILS == 0;
             let outcome = if fails { Outcome::ConnectFailed } else { Outcome::Ok };
-            let (took, complete, load) = (SLICE * WORK as f64, !fails, Vec::new());
-            let ended = Event::Ended { id, attempt, server, outcome, complete, took, settled: 0.0, load };
+            let (elapsed, complete) = (SLICE * WORK as f64, !fails);
+            let ended = Event::AttemptEnded { id, attempt, server, outcome, complete, elapsed };
             if fails { &mut bad } else { &mut good }.push(ended);
         }
         self.feed(good, |c| &mut c.answer, costs);
         self.feed(bad, |c| &mut c.retry, costs);
-        let counted = |(name, total)| Event::Counted { name, outcome: Outcome::Ok, took: 5.0, total };
+        let counted =
+            |(name, total)| Event::CounterReplied { key: name, outcome: Outcome::Ok, elapsed: 5.0, total };
         let counted: Vec<Event> = self.calls.drain(..).map(counted).collect();
         self.feed(counted, |c| &mut c.counted, costs);
         let (mut at, mut requests) = (self.dice.wait(self.share), Vec::new());
         while at < SLICE {
-            let who = match customers {
+            let who = match tenants {
                 None => self.demand.draw(&mut self.dice),
                 Some(many) => self.dice.below(many),
             };
@@ -210,20 +213,20 @@
         self.stretch(seconds, None)
     }
 
-    fn stretch(&mut self, seconds: f64, customers: Option<usize>) -> Costs {
+    fn stretch(&mut self, seconds: f64, tenants: Option<usize>) -> Costs {
         for _ in 0..WARM_UP {
-            self.step(customers, &mut Costs::default());
+            self.step(tenants, &mut Costs::default());
         }
         let mut costs = Costs::default();
         for _ in 0..(seconds * 1000.0 / SLICE) as u64 {
-            self.step(customers, &mut costs);
+            self.step(tenants, &mut costs);
         }
         costs
     }
 
     /// Lets every one of so many customers come once, quickly.
-    fn meet(&mut self, customers: usize) {
-        for who in 0..customers {
+    fn meet(&mut self, tenants: usize) {
+        for who in 0..tenants {
             self.now += 0.01;
             let mut actions = Vec::new();
             let request = self.demand.request(self.next, who);
@@ -232,20 +235,18 @@
             let mut more = Vec::new();
             while let Some(action) = actions.pop() {
                 let event = match action {
-                    Action::Send { id, server, .. } => Event::Ended {
+                    Action::Forward { id, server, .. } => Event::AttemptEnded {
                         id,
                         attempt: 0,
                         server,
                         outcome: Outcome::Ok,
                         complete: true,
-                        took: 10.0,
-                        settled: 0.0,
-                        load: Vec::new(),
+                        elapsed: 10.0,
                     },
-                    Action::Count { name, add, .. } => {
+                    Action::IncrementCounter { key: name, add, .. } => {
                         let total = self.totals.entry(name).or_default();
                         *total += add;
-                        Event::Counted { name, outcome: Outcome::Ok, took: 5.0, total: *total }
+                        Event::CounterReplied { key: name, outcome: Outcome::Ok, elapsed: 5.0, total: *total }
                     }
                     _ => continue,
                 };
@@ -256,8 +257,8 @@
     }
 
     /// Customers that the module remembers.
-    pub fn remembered(&self) -> usize {
-        self.gateway.remembered()
+    pub fn tenant_count(&self) -> usize {
+        self.gateway.tenant_count()
     }
 }
 
@@ -283,8 +284,8 @@
             // As many limiters as the plan has for so many servers, each with its share of the plan's traffic; so the
             // concurrency limit of each stays. Customers come in through as many as in the plan.
             let gateways = (servers * plan.gateways).div_ceil(plan.servers);
-            let (rate, spread) = (plan.share() * gateways as f64, plan.gateways);
-            let deployment = Deployment { servers, gateways, rate, spread, ..plan };
+            let (rate, gateway_count) = (plan.share() * gateways as f64, plan.gateways);
+            let deployment = Deployment { servers, gateways, rate, gateway_count, ..plan };
             let mut bench = Bench::new(&deployment, repeat + 1);
             note(&mut report, "servers", servers, &bench.play(seconds));
             lists(&mut report, &mut bench, &deployment);
@@ -295,14 +296,14 @@
                 Deployment { gateways, rate: plan.share() * gateways as f64, servers: OF_OTHERS, ..plan };
             note(&mut report, "limiters", gateways, &Bench::new(&deployment, repeat + 1).play(seconds));
         }
-        for customers in CUSTOMERS {
-            let (servers, gateways, spread) = (200, 19, plan.gateways);
+        for tenants in CUSTOMERS {
+            let (servers, gateways, gateway_count) = (200, 19, plan.gateways);
             let rate = plan.share() * gateways as f64;
-            let deployment = Deployment { customers, servers, gateways, spread, rate, ..plan };
+            let deployment = Deployment { tenants, servers, gateways, gateway_count, rate, ..plan };
             let mut bench = Bench::new(&deployment, repeat + 1);
-            bench.meet(customers);
-            let costs = bench.stretch(seconds, Some(customers));
-            note(&mut report, "customers remembered", customers, &costs);
+            bench.meet(tenants);
+            let costs = bench.stretch(seconds, Some(tenants));
+            note(&mut report, "customers remembered", tenants, &costs);
         }
     }
     report
@@ -315,21 +316,21 @@
     let mut add = |what: &str, time: Duration| {
         report.sample(what, "servers", "µs", size, time.as_secs_f64() * 1e6);
     };
-    add("whole list, nothing new", bench.list(ListUpdate::Full, deployment.entries()));
+    add("whole list, nothing new", bench.list(EndpointUpdate::Complete, deployment.entries()));
     let single: Duration = (0..CHANGES)
         .map(|i| {
-            let state = if i % 2 == 0 { ServerState::Draining } else { ServerState::Ready };
+            let state = if i % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
             let n = i / 2 * deployment.servers / CHANGES;
-            bench.list(ListUpdate::Delta, vec![deployment.entry(n, state, 0.0)])
+            bench.list(EndpointUpdate::Incremental, vec![deployment.entry(n, state, 0.0)])
         })
         .sum();
     add("change of one server", single / CHANGES as u32);
-    let shifted = |n| ServerEntry {
+    let shifted = |n| Endpoint {
         server: ServerId((n + deployment.servers / 2) as u32 + 1),
-        ..deployment.entry(n, ServerState::Ready, 0.0)
+        ..deployment.entry(n, EndpointState::Ready, 0.0)
     };
     add(
         "whole list, half replaced",
-        bench.list(ListUpdate::Full, (0..deployment.servers).map(shifted).collect()),
+        bench.list(EndpointUpdate::Complete, (0..deployment.servers).map(shifted).collect()),
     );
 }
--- a/scale/src/process.rs
+++ b/capacity/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::measure::Report;
 use crate::memory::resident;
-use crate::standins::{counter, Agent, Client, Server};
+use crate::stub_peers::{counter, Agent, Client, Server};
 use hdrhistogram::Histogram;
 use std::error::Error;
 use std::io::{BufRead, BufReader};
@@ -156,9 +156,9 @@
                 let agent = Agent::start(text, piece)?;
                 let limiter = Limiter::start(program, agent.address, 1)?;
                 let ready = limiter.ready()?;
-                let took = limiter.started.elapsed().as_secs_f64() * 1000.0;
+                let elapsed = limiter.started.elapsed().as_secs_f64() * 1000.0;
                 add("ready", "of starts", f64::from(u8::from(ready)));
-                add("time to ready, by the clock on the wall", "ms", took);
+                add("time to ready, by the clock on the wall", "ms", elapsed);
                 let watched = ready && within(READY, || agent.watched());
                 add("processor time, start to watch", "ms", limiter.spent());
                 add("calls to the agent by then", "calls", agent.calls.load(Ordering::SeqCst) as f64);
--- a/scale/src/hollow.rs
+++ b/capacity/src/simulated_fleet.rs
@@ -5,10 +5,12 @@
 use crate::measure::Report;
 use crate::memory::resident;
 use cpu_time::ThreadTime;
+use rate_limiting_gateway::action::Action;
+use rate_limiting_gateway::event::{Endpoint, EndpointState, EndpointUpdate, Event, Outcome};
+use rate_limiting_gateway::ids::{CounterKey, Millis, RequestId, ServerId};
+use rate_limiting_gateway::policy::{counter_call_timeout, Gateway};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
-use topazwind::interface::*;
-use topazwind::logic::{patience, Gateway};
 
 /// A server works on a request for this long, ms, and on so many at once without slowing down.
 const WORK: std::ops::Range<Millis> = 20.0..60.0;
@@ -65,7 +67,7 @@
 pub fn play(play: &Play) -> Report {
     let d = play.deployment;
     let (settings, demand, entries) = (d.settings(), d.demand(), d.entries());
-    let waits = patience(&settings);
+    let waits = counter_call_timeout(&settings);
     let mut dice = Dice::new(play.seed);
     let before = resident(std::process::id()).unwrap_or_default();
     let mut fleet: Vec<Gateway> =
@@ -73,14 +75,14 @@
     let mut todo: Vec<(usize, Event)> = Vec::new();
     let (mut heap, mut now, mut acts) = (BinaryHeap::new(), START, Vec::new());
     for (g, gateway) in fleet.iter_mut().enumerate() {
-        let full = Event::Servers { update: ListUpdate::Full, entries: entries.clone() };
+        let full = Event::EndpointsChanged { update: EndpointUpdate::Complete, entries: entries.clone() };
         gateway.handle(now, full, &mut acts);
         // The housekeeping of a fleet does not fall on one moment.
         acts.clear();
         heap.push(Reverse((micros(now + 20.0 * dice.roll()), Due::Tick(g as u32))));
     }
     let listed = resident(std::process::id()).unwrap_or_default();
-    let (mut totals, mut free_at) = (HashMap::<CountName, f64>::new(), [START; PARTS]);
+    let (mut totals, mut free_at) = (HashMap::<CounterKey, f64>::new(), [START; PARTS]);
     let calls_a_second = play.bears * d.rate;
     let mut up = vec![true; d.servers];
     let mut busy = vec![0.0; d.servers];
@@ -117,10 +119,11 @@
             now = (at as f64 / 1000.0).max(now);
             match due {
                 Due::Tick(g) => todo.push((g as usize, Event::Timer(0))),
-                Due::Counted(g, name, total, how, took) => {
-                    let outcome = [Outcome::Ok, Outcome::TimedOut, Outcome::Full][usize::from(how)];
-                    let (name, total, took) = (CountName(name), f64::from_bits(total), took as f64 / 1000.0);
-                    todo.push((g as usize, Event::Counted { name, outcome, took, total }));
+                Due::Counted(g, name, total, how, elapsed) => {
+                    let outcome = [Outcome::Ok, Outcome::TimedOut, Outcome::Rejected][usize::from(how)];
+                    let (name, total, elapsed) =
+                        (CounterKey(name), f64::from_bits(total), elapsed as f64 / 1000.0);
+                    todo.push((g as usize, Event::CounterReplied { key: name, outcome, elapsed, total }));
                 }
                 Due::Ended(g, id, server, attempt, good) => {
                     busy[server as usize] -= f64::from(u8::from(good));
@@ -128,8 +131,8 @@
                     let outcome = if good { Outcome::Ok } else { Outcome::ConnectFailed };
                     n[3] += usize::from(!good);
                     let (id, server) = (RequestId(id), ServerId(server + 1));
-                    let (complete, took, settled, load) = (good, 40.0, 0.0, Vec::new());
-                    let ended = Event::Ended { id, attempt, server, outcome, complete, took, settled, load };
+                    let (complete, elapsed) = (good, 40.0);
+                    let ended = Event::AttemptEnded { id, attempt, server, outcome, complete, elapsed };
                     todo.push((g as usize, ended));
                 }
                 Due::Lost(zone) => {
@@ -140,15 +143,15 @@
                         zone if zone < 100 => s % d.zones == usize::from(zone),
                         step => s % 20 == usize::from(step - 100),
                     };
-                    let state = if back { ServerState::Ready } else { ServerState::Draining };
-                    let news: Vec<ServerEntry> = (0..d.servers)
+                    let state = if back { EndpointState::Ready } else { EndpointState::Draining };
+                    let news: Vec<Endpoint> = (0..d.servers)
                         .filter(|s| of(*s))
                         .map(|s| d.entry(s, state, if back { now } else { 0.0 }))
                         .collect();
                     (0..d.servers).filter(|s| back && of(*s)).for_each(|s| up[s] = true);
                     n[8] += news.len() * d.gateways;
-                    let (update, all) = (ListUpdate::Delta, 0..d.gateways);
-                    todo.extend(all.map(|g| (g, Event::Servers { update, entries: news.clone() })));
+                    let (update, all) = (EndpointUpdate::Incremental, 0..d.gateways);
+                    todo.extend(all.map(|g| (g, Event::EndpointsChanged { update, entries: news.clone() })));
                 }
             }
         }
@@ -160,7 +163,7 @@
             fleet[g].handle(now, event, &mut acts);
             for action in acts.drain(..) {
                 match action {
-                    Action::Send { id, server, .. } => {
+                    Action::Forward { id, server, .. } => {
                         let s = server.0 - 1;
                         let attempt = tries.entry(id.0).or_default();
                         let good = up[s as usize];
@@ -168,38 +171,38 @@
                         load[s as usize] += counts as u32;
                         n[1] += counts;
                         let work = WORK.start + (WORK.end - WORK.start) * dice.roll();
-                        let took = if good { work * (busy[s as usize] / SLOTS).max(1.0) } else { CONNECT };
+                        let elapsed = if good { work * (busy[s as usize] / SLOTS).max(1.0) } else { CONNECT };
                         let due = Due::Ended(g as u32, id.0, s, *attempt, good);
-                        heap.push(Reverse((micros(now + took), due)));
+                        heap.push(Reverse((micros(now + elapsed), due)));
                         *attempt += 1;
                     }
-                    Action::Count { name, add, ttl } => {
+                    Action::IncrementCounter { key: name, add, ttl } => {
                         n[4] += counts;
                         let free = &mut free_at[(name.0 >> 7) as usize % PARTS];
                         let begins = free.max(now);
                         let full = begins - now > 3.0 * settings.counter_timeout;
-                        let (mut took, mut how, mut total) = (WAY, 2, 0.0);
+                        let (mut elapsed, mut how, mut total) = (WAY, 2, 0.0);
                         if !full {
                             if calls_a_second > 0.0 {
                                 *free = begins + 1000.0 * PARTS as f64 / calls_a_second;
                             }
                             let sum = totals.entry(name).or_default();
                             *sum += add;
-                            (took, how, total) = (begins - now + WAY, 0, *sum);
+                            (elapsed, how, total) = (begins - now + WAY, 0, *sum);
                         }
-                        if how == 0 && took > waits {
-                            (took, how) = (waits, 1);
+                        if how == 0 && elapsed > waits {
+                            (elapsed, how) = (waits, 1);
                         }
                         n[5] += if how == 1 { counts } else { 0 };
                         n[6] += if how == 2 { counts } else { 0 };
                         n[7] += counts * call_bytes(name, add, ttl, total);
-                        let due = Due::Counted(g as u32, name.0, total.to_bits(), how, micros(took));
-                        heap.push(Reverse((micros(now + took), due)));
+                        let due = Due::Counted(g as u32, name.0, total.to_bits(), how, micros(elapsed));
+                        heap.push(Reverse((micros(now + elapsed), due)));
                     }
                     Action::Timer { after, .. } => {
                         heap.push(Reverse((micros(now + after), Due::Tick(g as u32))))
                     }
-                    Action::Refuse { .. } => n[2] += counts,
+                    Action::Reject { .. } => n[2] += counts,
                     _ => {}
                 }
             }
@@ -220,8 +223,8 @@
     report.fact("calls turned away", per(n[6], n[4]), "of all");
     let counter_bytes = n[7] as f64 / play.seconds / d.gateways as f64;
     report.fact("to and from the counter, a limiter", counter_bytes, "bytes a second");
-    let remembered: usize = fleet.iter().map(Gateway::remembered).sum();
-    report.fact("customers remembered, a limiter", per(remembered, d.gateways), "");
+    let tenant_count: usize = fleet.iter().map(Gateway::tenant_count).sum();
+    report.fact("customers remembered, a limiter", per(tenant_count, d.gateways), "");
     report.fact("entries told by changes, whole fleet", n[8] as f64, "");
     let mean = load.iter().map(|l| f64::from(*l)).sum::<f64>() / d.servers as f64;
     let off = load.iter().map(|l| (f64::from(*l) - mean).powi(2)).sum::<f64>() / d.servers as f64;
--- a/scale/src/standins.rs
+++ b/capacity/src/stub_peers.rs
@@ -184,9 +184,15 @@
     ///
     /// # Errors
     /// When the connection is gone.
-    pub fn send(&mut self, id: usize, customer: usize, plan: &str, spread: usize) -> std::io::Result<()> {
+    pub fn send(
+        &mut self,
+        id: usize,
+        tenant: usize,
+        plan: &str,
+        gateway_count: usize,
+    ) -> std::io::Result<()> {
         let text = format!(
-            "GET /look?customer={customer:016x} HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {id:016x}\r\nX-Service-Class: look\r\nX-Plan: {plan}\r\nX-Time-Left: 9.0\r\nX-Quota: units=1,spread={spread},first=0\r\nContent-Length: 0\r\n\r\n"
+            "GET /look?customer={tenant:016x} HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {id:016x}\r\nX-Service-Class: look\r\nX-Plan: {plan}\r\nX-Time-Left: 9.0\r\nX-Quota: units=1,spread={gateway_count},first=0\r\nContent-Length: 0\r\n\r\n"
         );
         self.0.get_mut().write_all(text.as_bytes())
     }
--- a/src/net/config.rs
+++ b/src/config/file.rs
@@ -1,8 +1,8 @@
 //! Reads the file that `PROXY_CONFIG` names.
 
-use super::discovery::ServerList;
-use crate::interface::Settings;
-use crate::wire::{parse_settings, WireError};
+use crate::config::{parse_settings, WireError};
+use crate::net::discovery::ServerList;
+use crate::settings::Settings;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::Value;
@@ -85,8 +85,6 @@
     pub plans: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Values of a load report.
-    pub report: Vec<String>,
 }
 
 /// Everything the limiter is told at its start.
@@ -145,7 +143,6 @@
             classes: names_of(&set["classes"]),
             plans: names_of(&set["plans"]),
             zones: texts(&set["areas"]),
-            report: texts(&set["report"]["columns"]),
         };
         let span = |part: &str, key: &str, absent: f64| {
             set[part][key].as_f64().filter(|v| *v > 0.0).map_or(absent, |v| v.min(LONGEST_SPAN))
@@ -217,5 +214,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/config.rs"]
+#[path = "../../tests/unit/config_file.rs"]
 mod tests;
--- a/src/wire/settings.rs
+++ b/src/config/settings_text.rs
@@ -1,7 +1,7 @@
 //! Reads the `path=value` lines an instance is handed at its start.
 
 use super::WireError;
-use crate::interface::*;
+use crate::settings::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 use std::collections::HashMap;
 
 /// Parsed lines, with typed look-ups that name the key in their errors.
@@ -56,28 +56,28 @@
     for i in 0..lines.count("classes.count")? {
         let key = |name: &str| format!("classes.{i}.{name}");
         let deadline = lines.must(&key("deadline"))?;
-        let repeat = match lines.text(&key("idempotency")) {
-            Some("free") => Repeat::Safe,
-            Some("guarded") => Repeat::Keyed {
-                group: match lines.text(&key("group")) {
-                    Some("all") => Group::All,
-                    Some("zone") => Group::Zone,
-                    Some("cell") => Group::Cell,
+        let idempotency = match lines.text(&key("idempotency")) {
+            Some("free") => Idempotency::Idempotent,
+            Some("guarded") => Idempotency::IdempotencyKey {
+                scope: match lines.text(&key("group")) {
+                    Some("all") => DeduplicationScope::All,
+                    Some("zone") => DeduplicationScope::Zone,
+                    Some("cell") => DeduplicationScope::Cell,
                     other => {
                         return Err(WireError(format!("setting {}: {other:?} is unknown", key("group"))))
                     }
                 },
                 window: lines.num(&key("repeat_window"), 0.0)?,
             },
-            Some("single_shot") => Repeat::Unsafe,
+            Some("single_shot") => Idempotency::NonIdempotent,
             other => return Err(WireError(format!("setting {}: {other:?} is unknown", key("idempotency")))),
         };
         classes.push(Class {
-            aim: lines.num(&key("goal_time"), deadline)?,
+            latency_objective: lines.num(&key("goal_time"), deadline)?,
             deadline,
-            late_worth: lines.num(&key("late_value"), 0.0)?,
-            worth: lines.num(&key("importance"), 1.0)?,
-            repeat,
+            late_value: lines.num(&key("late_value"), 0.0)?,
+            priority_weight: lines.num(&key("importance"), 1.0)?,
+            idempotency,
         });
     }
     let mut plans = Vec::new();
@@ -87,62 +87,27 @@
         plans.push(Plan {
             rate: num("rate", 0.0)?,
             burst: num("store_size", 0.0)?,
-            max_open: num("max_out", 0.0)?,
+            max_in_flight: num("max_out", 0.0)?,
             ceiling_rate: num("hard_rate", 0.0)?,
             ceiling_burst: num("cap_depth", 0.0)?,
-            ceiling_slack: num("ceiling_slack", 0.0)?,
-            price: num("pays", 1.0)?,
-            over_worth: num("excess_worth", 0.0)?,
-            over_cost: num("over_cost", 0.0)?,
+            priority_multiplier: num("pays", 1.0)?,
+            overage_value: num("excess_worth", 0.0)?,
+            overage_penalty: num("over_cost", 0.0)?,
         });
     }
-    let report = match lines.text("report.source") {
-        None | Some("none") => Vec::new(),
-        Some(_) => lines
-            .text("report.columns")
-            .unwrap_or("")
-            .split(',')
-            .filter(|c| !c.is_empty())
-            .map(load)
-            .collect(),
-    };
     Ok(Settings {
-        gateways: lines.num("balancers", 1.0)?,
-        zone: lines.num("zone", 0.0)? as u16,
+        gateway_count: lines.num("balancers", 1.0)?,
         classes,
         plans,
         max_units: lines.num("family_info.max_units", 1.0)?,
         max_attempts: lines.num("ceilings.max_attempts", 0.0)? as u32,
-        parallel_tries: lines.flag("ceilings.parallel_tries", false),
-        cancelling: lines.flag("ceilings.cancelling", false),
-        probes: lines.flag("ceilings.probes", false),
-        retry_after: lines.flag("ceilings.retry_after", false),
+        hedging_allowed: lines.flag("ceilings.parallel_tries", false),
+        cancellation_allowed: lines.flag("ceilings.cancelling", false),
         max_retry_after: lines.num("ceilings.max_retry_after", 0.0)?,
         counter: lines.flag("family_info.shared_counter", false),
         counter_timeout: lines.num("family_info.counter_timeout", 0.0)?,
-        list_on_request: lines.text("discovery") == Some("on_request"),
-        ask_within: lines.num("safety.ask_within", 0.0)?,
-        cold_start: lines.num("safety.start_capacity", 1.0)?,
-        warm_after: lines.num("safety.warm_after", 0.0)?,
-        overload_factor: lines.num("safety.overload_factor", 0.0)?,
-        tip_after: lines.num("safety.tip_after", 0.0)?,
-        report,
-        goal: Goal {
-            whole: lines.num("goal.whole", 0.0)?,
-            worst_window: lines.num("goal.worst_window", 0.0)?,
-            worst_class: lines.num("goal.worst_class", 0.0)?,
-            worst_plan: lines.num("goal.worst_tenant", 0.0)?,
-        },
+        poll_endpoints: lines.text("discovery") == Some("on_request"),
+        slow_start_capacity: lines.num("safety.start_capacity", 1.0)?,
+        slow_start_window: lines.num("safety.warm_after", 0.0)?,
     })
 }
-
-fn load(column: &str) -> Load {
-    match column.trim() {
-        "inflight" => Load::InFlight,
-        "queue" => Load::Queue,
-        "util" => Load::Util,
-        "qps" => Load::Qps,
-        "latency_ms" => Load::Latency,
-        _ => Load::Other,
-    }
-}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,32 +1,37 @@
-//! The decisions of a quota-keeping gateway ("limiter") in front of a shared API.
+//! A rate-limiting gateway in front of a fleet of servers: it holds every tenant to the quota of its plan, over all
+//! gateways together, and chooses a server for each request.
 //!
-//! [`logic::Gateway`] is one gateway's decision module: it takes settings and a seed, then events with
-//! their times, and appends the actions to carry out. The vocabulary is in [`interface`]; [`wire`] reads
-//! and writes the frames of the bench's adapter protocol and decides nothing; [`net`] holds the sockets of
-//! the real limiter.
+//! [`policy::Gateway`] makes the decisions of one gateway: it takes [`settings`] and a seed, then [`event`]s with
+//! their times, and appends the [`action`]s to execute. It does no I/O and reads no clock. [`net`] holds the sockets
+//! of the real gateway, [`simulator`] the frames of the simulator's protocol, and [`config`] reads the settings of
+//! both.
 //!
 //! ```
-//! use topazwind::interface::*;
-//! use topazwind::logic::Gateway;
+//! use rate_limiting_gateway::action::Action;
+//! use rate_limiting_gateway::event::{Endpoint, EndpointUpdate, Event, Request};
+//! use rate_limiting_gateway::ids::{RequestId, ServerId};
+//! use rate_limiting_gateway::policy::Gateway;
+//! use rate_limiting_gateway::settings::{Class, Plan, Settings};
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { aim: 500.0, deadline: 1500.0, ..Class::default() }],
+//!     classes: vec![Class { latency_objective: 500.0, deadline: 1500.0, ..Class::default() }],
 //!     plans: vec![Plan { rate: 5.0, burst: 10.0, ..Plan::default() }],
 //!     ..Settings::default()
 //! };
 //! let mut gateway = Gateway::new(settings, 7);
 //! let mut actions = Vec::new();
-//! let server = ServerEntry { server: ServerId(1), ..ServerEntry::default() };
-//! gateway.handle(0.0, Event::Servers { update: ListUpdate::Full, entries: vec![server] }, &mut actions);
+//! let entries = vec![Endpoint { server: ServerId(1), ..Endpoint::default() }];
+//! gateway.handle(0.0, Event::EndpointsChanged { update: EndpointUpdate::Complete, entries }, &mut actions);
 //! let request = Request { id: RequestId(9), time_left: 1500.0, ..Request::default() };
 //! gateway.handle(1.0, Event::Request(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(1), .. })));
+//! assert!(actions.iter().any(|a| matches!(a, Action::Forward { server: ServerId(1), .. })));
 //! ```
 
-mod fleet;
-pub mod interface;
-pub mod logic;
+pub mod action;
+pub mod config;
+pub mod event;
+pub mod ids;
 pub mod net;
-mod state;
-mod window;
-pub mod wire;
+pub mod policy;
+pub mod settings;
+pub mod simulator;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,11 @@
-//! One real limiter: serves clients on sockets with the decisions of [`topazwind`].
+//! One real limiter: serves clients on sockets with the decisions of [`rate_limiting_gateway`].
 
 use log::{Level, LevelFilter, Log, Metadata, Record};
+use rate_limiting_gateway::config::{Config, Limits};
+use rate_limiting_gateway::net::client::ClientListener;
+use rate_limiting_gateway::net::discovery::{most_bytes, Bounds, Following};
+use rate_limiting_gateway::net::event_loop::EventLoop;
+use rate_limiting_gateway::net::keep_running;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -10,11 +15,6 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
-use topazwind::net::config::{Config, Limits};
-use topazwind::net::discovery::{most_bytes, Bounds, Following};
-use topazwind::net::driver::Driver;
-use topazwind::net::front::Front;
-use topazwind::net::keep_running;
 
 /// Descriptors kept for all that is neither a client's nor a server's connection: the counter's (twice while it
 /// moves), discovery's, the listener and the runtime's own.
@@ -65,12 +65,12 @@
 
 /// Takes over where discovery and the counter are now; all else in the file counts at a start only. A file
 /// that cannot be read changes nothing.
-fn reload(path: &str, driver: &Rc<Driver>, following: &mut Following<SocketAddr>) {
+fn reload(path: &str, event_loop: &Rc<EventLoop>, following: &mut Following<SocketAddr>) {
     match Config::load(path) {
         Ok(config) => {
             log::info!("configuration: discovery {}, counter {:?}", config.discovery, config.counter);
-            following.move_to(driver, config.discovery);
-            driver.counter().move_to(config.counter);
+            following.move_to(event_loop, config.discovery);
+            event_loop.counter().move_to(config.counter);
         }
         Err(e) => log::error!("the configuration is kept as it was: {e}"),
     }
@@ -83,47 +83,52 @@
     let mut interrupt = signal(SignalKind::interrupt())?;
     let sockets = most_connections(config.limits);
     let clients = (sockets as f64 * CLIENT_SHARE) as usize;
-    let driver = Driver::new(&config, sockets - clients);
-    driver.start();
+    let event_loop = EventLoop::new(&config, sockets - clients);
+    event_loop.start();
     let known = config.known().map(|k| k.revision);
     let bounds =
-        Bounds { drain_grace: driver.drain_grace(), most_bytes: most_bytes(config.limits.memory_mb) };
-    let mut following = Following::start(&driver, config.discovery, known, bounds);
+        Bounds { drain_grace: event_loop.drain_grace(), most_bytes: most_bytes(config.limits.memory_mb) };
+    let mut following = Following::start(&event_loop, config.discovery, known, bounds);
     config.known = None;
-    let waiting = driver.clone();
+    let waiting = event_loop.clone();
     tokio::task::spawn_local(async move {
         tokio::time::sleep(LIST_WAIT).await;
         waiting.set_ready();
     });
-    let front = Front::new(driver.clone(), clients);
+    let client_listener = ClientListener::new(event_loop.clone(), clients);
     let listener = Rc::new(bind(config.listen)?);
     let address = listener.local_addr()?;
-    let accepting = front.clone();
+    let accepting = client_listener.clone();
     // To the end of the process: what waits to be accepted when a listener closes is reset, and its requests lost.
     keep_running("accept", move || accepting.clone().accept(listener.clone()));
-    let reaping = front.clone();
+    let reaping = client_listener.clone();
     keep_running("idle reaper", move || reaping.clone().reap_idle());
     log::info!("{} serves {address}", config.name);
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = interrupt.recv() => break,
-            _ = hangup.recv() => reload(&path, &driver, &mut following),
+            _ = hangup.recv() => reload(&path, &event_loop, &mut following),
         }
     }
     let stopped = Instant::now();
-    log::info!("{} stops: {} connections, {} owed", config.name, front.open(), driver.owed());
-    front.stop();
+    log::info!(
+        "{} stops: {} connections, {} owed",
+        config.name,
+        client_listener.open(),
+        event_loop.requests_in_flight()
+    );
+    client_listener.stop();
     let longest = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     let end = stopped + Duration::from_secs_f64(longest.min(LONGEST_FINISH) / 1000.0) + FINISH_MARGIN;
-    let mut finished = pin!(finish(&driver, &front, stopped + STILL_COMING, end));
+    let mut finished = pin!(finish(&event_loop, &client_listener, stopped + STILL_COMING, end));
     loop {
         // A further signal to end changes nothing: all that was taken is still owed.
         tokio::select! {
             () = finished.as_mut() => break,
             _ = term.recv() => {}
             _ = interrupt.recv() => {}
-            _ = hangup.recv() => reload(&path, &driver, &mut following),
+            _ = hangup.recv() => reload(&path, &event_loop, &mut following),
         }
     }
     log::info!("{} ends after {} ms", config.name, stopped.elapsed().as_millis());
@@ -137,19 +142,24 @@
 }
 
 /// Answers what was taken, and fails what is left at `end`.
-async fn finish(driver: &Rc<Driver>, front: &Rc<Front>, still_coming: Instant, end: Instant) {
+async fn finish(
+    event_loop: &Rc<EventLoop>,
+    client_listener: &Rc<ClientListener>,
+    still_coming: Instant,
+    end: Instant,
+) {
     tokio::time::sleep_until(still_coming.into()).await;
     // Seen empty twice: what was waiting to be accepted at the first look has been accepted by the second.
     let mut empty = 0;
     while empty < 2 && Instant::now() < end {
-        front.close_idle();
+        client_listener.close_idle();
         tokio::time::sleep(LOOK).await;
-        empty = if front.open() == 0 { empty + 1 } else { 0 };
+        empty = if client_listener.open() == 0 { empty + 1 } else { 0 };
     }
-    front.refuse_all();
-    driver.fail_all();
+    client_listener.refuse_all();
+    event_loop.fail_all();
     let last = Instant::now() + LAST_BYTES;
-    while front.open() > 0 && Instant::now() < last {
+    while client_listener.open() > 0 && Instant::now() < last {
         tokio::time::sleep(LOOK).await;
     }
 }
--- a/src/net/front.rs
+++ b/src/net/client/mod.rs
@@ -1,8 +1,11 @@
 //! Clients: accepts their connections, reads requests whole and writes each one answer.
 
-use super::driver::{Answer, Arrival, Driver};
+use super::event_loop::{Answer, Arrival, EventLoop};
+use super::socket::is_closed_by_peer;
 use super::upstream::Forward;
-use crate::interface::{self, ClassId, CustomerId, Millis, PlanId, Repeat};
+use crate::event;
+use crate::ids::{ClassId, Millis, PlanId, RequestId, TenantId};
+use crate::settings::Idempotency;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -12,7 +15,6 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -230,7 +232,7 @@
 struct Watched {
     stream: Rc<TcpStream>,
     peer: Rc<Peer>,
-    driver: Rc<Driver>,
+    event_loop: Rc<EventLoop>,
     /// Waits until the stream may be closed, once its sending has ended.
     closing: Option<Pin<Box<dyn Future<Output = ()>>>>,
 }
@@ -244,7 +246,7 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 done => {
                     if matches!(done, Ok(n) if n > 0) {
-                        self.peer.hear(&buf.filled()[before..], self.driver.now());
+                        self.peer.hear(&buf.filled()[before..], self.event_loop.now());
                     }
                     return Poll::Ready(done.map(drop));
                 }
@@ -288,7 +290,7 @@
 
     /// A socket keeps nothing back: what was written has gone out.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.peer.flushed(self.driver.now());
+        self.peer.flushed(self.event_loop.now());
         Poll::Ready(Ok(()))
     }
 
@@ -302,7 +304,7 @@
                 if SockRef::from(&*self.stream).shutdown(Shutdown::Write).is_err() {
                     return Poll::Ready(Ok(()));
                 }
-                let (stream, now) = (self.stream.clone(), self.driver.now());
+                let (stream, now) = (self.stream.clone(), self.event_loop.now());
                 let most = self.peer.linger(now);
                 self.peer.enter(Phase::Closing, now);
                 // Of what this interest stands for, a stream that asks for no urgent data brings the close only.
@@ -329,13 +331,6 @@
     poll_fn(|_| if peer.phase.get() == Phase::Busy { Poll::Ready(()) } else { Poll::Pending }).await
 }
 
-/// A client has closed its connection, closed it half or reset it, whatever stands unread on it.
-pub fn has_left(stream: &TcpStream) -> bool {
-    // A reset is told unasked. Where the kernel cannot tell, the connection's own end will.
-    let mut asked = [PollFd::new(stream, PollFlags::RDHUP)];
-    matches!(poll(&mut asked, Some(&Timespec::default())), Ok(1..))
-}
-
 /// Names of requests that are open. One that comes again meanwhile is another client's, and a server's
 /// answer could reach the wrong one.
 type OpenIds = RefCell<HashSet<Box<str>>>;
@@ -370,8 +365,8 @@
 }
 
 /// All client connections.
-pub struct Front {
-    driver: Rc<Driver>,
+pub struct ClientListener {
+    event_loop: Rc<EventLoop>,
     peers: RefCell<HashMap<u64, Rc<Peer>>>,
     ids: OpenIds,
     most: usize,
@@ -383,11 +378,11 @@
     left: Notify,
 }
 
-impl Front {
+impl ClientListener {
     /// A front that holds `most` connections at most.
-    pub fn new(driver: Rc<Driver>, most: usize) -> Rc<Self> {
-        Rc::new(Front {
-            driver,
+    pub fn new(event_loop: Rc<EventLoop>, most: usize) -> Rc<Self> {
+        Rc::new(ClientListener {
+            event_loop,
             peers: RefCell::default(),
             ids: RefCell::default(),
             most,
@@ -424,7 +419,7 @@
 
     /// Makes one connection give way; false where all have a request in hand, and the newcomer has to wait.
     fn make_room(&self) -> bool {
-        let (peers, now) = (self.peers.borrow(), self.driver.now());
+        let (peers, now) = (self.peers.borrow(), self.event_loop.now());
         let able = peers.values().filter(|p| !p.over.get()).filter_map(|p| Some((p.gives_way(now)?, p)));
         let mut able: Vec<_> = able.collect();
         able.sort_unstable_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -442,7 +437,7 @@
     pub async fn reap_idle(self: Rc<Self>) {
         loop {
             tokio::time::sleep(REAP_EVERY).await;
-            let now = self.driver.now();
+            let now = self.event_loop.now();
             for peer in self.peers.borrow().values().filter(|p| now - p.since.get() > p.limit()) {
                 match peer.phase.get() {
                     Phase::Idle if !peer.all_read() => {}
@@ -460,7 +455,7 @@
 
     /// Closes the connections that owe nothing and on which nothing has begun.
     pub fn close_idle(&self) {
-        let now = self.driver.now();
+        let now = self.event_loop.now();
         self.peers.borrow().values().filter(|p| p.quiet(now)).for_each(|peer| peer.leave.notify_one());
     }
 
@@ -480,15 +475,15 @@
         // An answer is one small write, and is wanted now.
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
-            let (front, peer) = (self.clone(), peer.clone());
+            let (client_listener, peer) = (self.clone(), peer.clone());
             async move {
-                let answer = front.answer(request, &peer).await;
-                peer.enter(Phase::Writing, front.driver.now());
+                let answer = client_listener.answer(request, &peer).await;
+                peer.enter(Phase::Writing, client_listener.event_loop.now());
                 Ok::<_, Infallible>(answer)
             }
         });
-        let (driver, closing) = (self.driver.clone(), None);
-        let watched = Watched { stream: stream.clone(), peer: peer.clone(), driver, closing };
+        let (event_loop, closing) = (self.event_loop.clone(), None);
+        let watched = Watched { stream: stream.clone(), peer: peer.clone(), event_loop, closing };
         let mut builder = http1::Builder::new();
         builder.max_buf_size(BUFFER);
         let mut connection = pin!(builder.serve_connection(TokioIo::new(watched), service));
@@ -532,8 +527,8 @@
         framing(&head.headers)?;
         // Judged before its body is read: nothing is kept for what is turned away.
         if head.uri.path() == "/healthz" {
-            peer.take(self.driver.now());
-            let ready = self.driver.is_ready();
+            peer.take(self.event_loop.now());
+            let ready = self.event_loop.is_ready();
             return Ok(if ready {
                 plain(StatusCode::OK, "ok\n")
             } else {
@@ -544,7 +539,7 @@
         // Dropped at this await, nothing has been taken on yet.
         let body = read_body(body).await?;
         if self.over.get() {
-            peer.take(self.driver.now());
+            peer.take(self.event_loop.now());
             return Ok(plain(StatusCode::SERVICE_UNAVAILABLE, "ending\n"));
         }
         if head.method == Method::GET && !body.is_empty() {
@@ -559,15 +554,15 @@
             return Err((StatusCode::CONFLICT, "a request of this name is open\n"));
         };
         let forward = Forward { method: head.method, uri: head.uri, headers: headers.clone(), body };
-        peer.take(self.driver.now());
+        peer.take(self.event_loop.now());
         let client = Rc::downgrade(&peer.stream);
-        let (id, receiver) = self.driver.arrive(Arrival { request, forward, client });
-        let mut watch = Watch { driver: &self.driver, id, answered: false };
+        let (id, receiver) = self.event_loop.arrive(Arrival { request, forward, client });
+        let mut watch = Watch { event_loop: &self.event_loop, id, answered: false };
         // Dropped at these awaits, the watch tells the driver that the client has left. The sender is lost
         // where the driver has seen that first; else it is a defect, and the request has failed.
         let answer = match receiver.await {
             Ok(answer) => answer,
-            Err(_) if has_left(&peer.stream) => std::future::pending().await,
+            Err(_) if is_closed_by_peer(&peer.stream) => std::future::pending().await,
             Err(_) => Answer::Failed,
         };
         watch.answered = true;
@@ -576,9 +571,9 @@
 
     /// What the module is told of a request, and the headers that go on. All of it is checked first: what is
     /// wrong must not reach the module, nor change what is known of a customer.
-    fn read(&self, head: &hyper::http::request::Parts) -> Result<(interface::Request, HeaderMap), Bad> {
-        let names = self.driver.names();
-        let settings = self.driver.settings();
+    fn read(&self, head: &hyper::http::request::Parts) -> Result<(event::Request, HeaderMap), Bad> {
+        let names = self.event_loop.names();
+        let settings = self.event_loop.settings();
         let headers = &head.headers;
         let first = head.uri.path().split('/').nth(1).unwrap_or("");
         let class = names.classes.iter().position(|c| c == first);
@@ -587,12 +582,12 @@
             return Err(bad("the class in the header is not that of the path\n"));
         }
         let of = settings.classes.get(class).ok_or(bad("no such class\n"))?;
-        let wanted = if of.repeat == Repeat::Safe { Method::GET } else { Method::POST };
+        let wanted = if of.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
         if head.method != wanted {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "the class wants another method\n"));
         }
         let key = single(headers, &KEY)?;
-        if matches!(of.repeat, Repeat::Keyed { .. }) && key.is_none_or(str::is_empty) {
+        if matches!(of.idempotency, Idempotency::IdempotencyKey { .. }) && key.is_none_or(str::is_empty) {
             return Err(bad("Idempotency-Key is missing\n"));
         }
         if !single(headers, &CORRELATION)?.is_some_and(|id| (1..=MOST_ID).contains(&id.len())) {
@@ -600,23 +595,24 @@
         }
         let plan = single(headers, &PLAN)?.and_then(|p| names.plans.iter().position(|n| n == p));
         let plan = plan.ok_or(bad("unknown plan\n"))?;
-        let customer =
-            customer(head.uri.query().unwrap_or("")).ok_or(bad("no customer that can be read\n"))?;
+        let tenant = tenant(head.uri.query().unwrap_or("")).ok_or(bad("no customer that can be read\n"))?;
         let time_left = single(headers, &TIME_LEFT)?.and_then(decimal).map(|left| left * 1000.0);
         let time_left = time_left.filter(|left| *left > 0.0 && *left <= LONGEST_WAIT);
         let time_left = time_left.ok_or(bad("X-Time-Left is missing or out of range\n"))?;
-        let quota = single(headers, &QUOTA)?.and_then(|q| quota(q, settings.max_units, settings.gateways));
-        let (units, spread) = quota.ok_or(bad("X-Quota cannot be read\n"))?;
-        let request = interface::Request {
-            customer: CustomerId(customer),
+        let quota =
+            single(headers, &QUOTA)?.and_then(|q| quota(q, settings.max_units, settings.gateway_count));
+        let (units, gateway_count) = quota.ok_or(bad("X-Quota cannot be read\n"))?;
+        // Not used, but it may stand once only.
+        single(headers, &REPEAT)?;
+        let request = event::Request {
+            tenant: TenantId(tenant),
             class: ClassId(class),
             plan: PlanId(plan),
             units,
             // No client waits longer than its class allows, and nothing is kept for longer.
             time_left: if of.deadline > 0.0 { time_left.min(of.deadline) } else { time_left },
-            spread,
-            repeat: single(headers, &REPEAT)? == Some("1"),
-            ..interface::Request::default()
+            gateway_count,
+            ..event::Request::default()
         };
         let mut on = HeaderMap::with_capacity(8);
         for name in [CORRELATION, KEY, CLASS, PLAN, CONTENT_TYPE] {
@@ -630,48 +626,48 @@
 
 /// Takes a connection off the list whichever way it ends.
 struct Listed {
-    front: Rc<Front>,
+    client_listener: Rc<ClientListener>,
     number: u64,
     peer: Rc<Peer>,
 }
 
 impl Listed {
-    fn new(front: Rc<Front>, stream: TcpStream) -> Self {
-        let number = front.next.get() + 1;
-        front.next.set(number);
+    fn new(client_listener: Rc<ClientListener>, stream: TcpStream) -> Self {
+        let number = client_listener.next.get() + 1;
+        client_listener.next.set(number);
         let peer = Rc::new(Peer {
             stream: Rc::new(stream),
             phase: Cell::new(Phase::Reading),
-            since: Cell::new(front.driver.now()),
+            since: Cell::new(client_listener.event_loop.now()),
             heard: Cell::new(false),
             ahead: Cell::new(false),
             heads: Cell::default(),
             leave: Notify::new(),
             over: Cell::new(false),
         });
-        front.peers.borrow_mut().insert(number, peer.clone());
-        Listed { front, number, peer }
+        client_listener.peers.borrow_mut().insert(number, peer.clone());
+        Listed { client_listener, number, peer }
     }
 }
 
 impl Drop for Listed {
     fn drop(&mut self) {
-        self.front.peers.borrow_mut().remove(&self.number);
-        self.front.left.notify_one();
+        self.client_listener.peers.borrow_mut().remove(&self.number);
+        self.client_listener.left.notify_one();
     }
 }
 
 /// Tells the driver when the client leaves before its answer: its connection's task is dropped then.
 struct Watch<'a> {
-    driver: &'a Rc<Driver>,
-    id: interface::RequestId,
+    event_loop: &'a Rc<EventLoop>,
+    id: RequestId,
     answered: bool,
 }
 
 impl Drop for Watch<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.driver.client_gone(self.id);
+            self.event_loop.client_gone(self.id);
         }
     }
 }
@@ -753,7 +749,7 @@
 }
 
 /// The customer's number in a query: 16 hexadecimal digits, once.
-fn customer(query: &str) -> Option<u64> {
+fn tenant(query: &str) -> Option<u64> {
     let mut values = query.split('&').filter_map(|pair| pair.strip_prefix("customer="));
     let value = values.next().filter(|v| v.len() == 16 && v.bytes().all(|b| b.is_ascii_hexdigit()))?;
     let number = u64::from_str_radix(value, 16).ok().filter(|n| *n < CUSTOMERS)?;
@@ -762,13 +758,13 @@
 
 /// Units and the number of limiters in an `X-Quota` header, each field once and within the settings.
 fn quota(text: &str, most_units: f64, gateways: f64) -> Option<(f64, f64)> {
-    let (mut units, mut spread, mut first) = (None, None, None);
+    let (mut units, mut gateway_count, mut first) = (None, None, None);
     let most = if most_units > 0.0 { most_units } else { MOST_UNITS };
     for field in text.split(',') {
         let (name, value) = field.split_once('=')?;
         let (place, least, most) = match name.trim() {
             "units" => (&mut units, f64::MIN_POSITIVE, most),
-            "spread" => (&mut spread, 1.0, gateways.max(1.0)),
+            "spread" => (&mut gateway_count, 1.0, gateways.max(1.0)),
             "first" => (&mut first, 0.0, gateways.max(1.0) - 1.0),
             _ => continue,
         };
@@ -777,10 +773,10 @@
             return None;
         }
     }
-    let (units, spread, first) = (units?, spread?, first?);
-    (spread.fract() == 0.0 && first.fract() == 0.0).then_some((units, spread))
+    let (units, gateway_count, first) = (units?, gateway_count?, first?);
+    (gateway_count.fract() == 0.0 && first.fract() == 0.0).then_some((units, gateway_count))
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/front.rs"]
+#[path = "../../../tests/unit/client.rs"]
 mod tests;
--- a/src/net/counter.rs
+++ b/src/net/counter/mod.rs
@@ -1,9 +1,10 @@
 //! Calls to the counter service: lines written one behind another on a few kept connections, whose answers
 //! come back in order.
 
-use super::driver::Driver;
+use super::event_sink::EventSink;
 use super::keep_running;
-use crate::interface::*;
+use crate::event::{Event, Outcome};
+use crate::ids::{CounterKey, Millis};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -88,7 +89,7 @@
     links: RefCell<[Option<Rc<Link>>; LINKS]>,
     moved: [Notify; LINKS],
     /// Calls whose end the module has not been told.
-    waiting: RefCell<HashMap<u64, (CountName, Millis)>>,
+    waiting: RefCell<HashMap<u64, (CounterKey, Millis)>>,
     next: Cell<u64>,
     dead_after: Millis,
 }
@@ -107,10 +108,10 @@
     }
 
     /// Keeps the connections up for the life of the process.
-    pub fn run(driver: &Rc<Driver>) {
+    pub fn start<S: EventSink + Clone + 'static>(self: &Rc<Self>, sink: &S) {
         for index in 0..LINKS {
-            let driver = driver.clone();
-            keep_running("counter", move || keep(driver.clone(), index));
+            let (counter, sink) = (self.clone(), sink.clone());
+            keep_running("counter", move || keep(counter.clone(), sink.clone(), index));
         }
     }
 
@@ -126,7 +127,7 @@
     ///
     /// # Errors
     /// When nothing was or will be sent.
-    pub fn call(&self, name: CountName, add: f64, ttl: Millis, now: Millis) -> Result<u64, Outcome> {
+    pub fn call(&self, name: CounterKey, add: f64, ttl: Millis, now: Millis) -> Result<u64, Outcome> {
         let links = self.links.borrow();
         let first = (name.0 % LINKS as u64) as usize;
         // While a name's own connection is down its calls take another: one reset connection would else
@@ -146,7 +147,7 @@
 
     /// A call has ended or is waited for no longer; none if that was told before. An answer that comes after
     /// its time-out is read in its place and dropped.
-    pub fn settle(&self, call: u64, now: Millis) -> Option<(CountName, Millis)> {
+    pub fn settle(&self, call: u64, now: Millis) -> Option<(CounterKey, Millis)> {
         let (name, at) = self.waiting.borrow_mut().remove(&call)?;
         Some((name, now - at))
     }
@@ -168,8 +169,7 @@
 }
 
 /// Keeps one connection up.
-async fn keep(driver: Rc<Driver>, index: usize) {
-    let counter = driver.counter();
+async fn keep<S: EventSink + Clone + 'static>(counter: Rc<Counter>, sink: S, index: usize) {
     let mut pause = PAUSE;
     loop {
         let Some(address) = counter.address.get() else {
@@ -183,7 +183,8 @@
             if let Some(before) = counter.links.borrow_mut()[index].replace(link.clone()) {
                 before.retire();
             }
-            let serving = tokio::task::spawn_local(serve(driver.clone(), stream, index, link.clone()));
+            let serving =
+                tokio::task::spawn_local(serve(counter.clone(), sink.clone(), stream, index, link.clone()));
             tokio::select! {
                 _ = serving => {}
                 () = counter.moved[index].notified() => pause = PAUSE,
@@ -200,15 +201,16 @@
 
 /// Takes a connection out of use whichever way it ends, and tells how what it owes has ended: written whole,
 /// it may have been added; else it was not.
-struct Ending {
-    driver: Rc<Driver>,
+struct Ending<S: EventSink> {
+    counter: Rc<Counter>,
+    sink: S,
     index: usize,
     link: Rc<Link>,
 }
 
-impl Drop for Ending {
+impl<S: EventSink> Drop for Ending<S> {
     fn drop(&mut self) {
-        let counter = self.driver.counter();
+        let counter = &self.counter;
         {
             let mut links = counter.links.borrow_mut();
             if links[self.index].as_ref().is_some_and(|l| Rc::ptr_eq(l, &self.link)) {
@@ -216,30 +218,35 @@
             }
         }
         let queue = self.link.queue.take();
-        let now = self.driver.now();
+        let now = self.sink.now();
         for o in queue.owed {
             let outcome = if o.ends <= queue.written { Outcome::Reset } else { Outcome::ConnectFailed };
-            if let Some((name, took)) = o.call.and_then(|call| counter.settle(call, now)) {
-                self.driver.feed(Event::Counted { name, outcome, took, total: 0.0 });
+            if let Some((name, elapsed)) = o.call.and_then(|call| counter.settle(call, now)) {
+                self.sink.dispatch(Event::CounterReplied { key: name, outcome, elapsed, total: 0.0 });
             }
         }
     }
 }
 
-async fn serve(driver: Rc<Driver>, stream: TcpStream, index: usize, link: Rc<Link>) {
-    let ending = Ending { driver, index, link };
-    if let Err(e) = converse(&ending.driver, stream, &ending.link).await {
+async fn serve<S: EventSink>(counter: Rc<Counter>, sink: S, stream: TcpStream, index: usize, link: Rc<Link>) {
+    let ending = Ending { counter, sink, index, link };
+    if let Err(e) = converse(&ending.counter, &ending.sink, stream, &ending.link).await {
         log::warn!("counter: connection {index} is lost: {e}");
     }
 }
 
 /// Writes calls and reads answers until the connection ends; an error tells why it could not go on.
-async fn converse(driver: &Rc<Driver>, mut stream: TcpStream, link: &Link) -> Result<(), String> {
+async fn converse(
+    counter: &Counter,
+    sink: &impl EventSink,
+    mut stream: TcpStream,
+    link: &Link,
+) -> Result<(), String> {
     let (mut reader, mut writer) = stream.split();
     let mut line = Vec::new();
     let mut piece = [0u8; 2048];
     let mut out = Vec::new();
-    let last = Duration::from_secs_f64(driver.counter().dead_after / 1000.0);
+    let last = Duration::from_secs_f64(counter.dead_after / 1000.0);
     loop {
         {
             let mut queue = link.queue.borrow_mut();
@@ -267,7 +274,7 @@
                 link.heard.set(true);
                 for byte in &piece[..n] {
                     if *byte == b'\n' {
-                        answered(driver, link, &line)?;
+                        answered(counter, sink, link, &line)?;
                         line.clear();
                     } else {
                         line.push(*byte);
@@ -285,26 +292,26 @@
 
 /// Takes in one line. One that is no answer leaves unknown what it belonged to: the connection is given up,
 /// and the call whose answer was due, which was added, is in doubt like those behind it.
-fn answered(driver: &Rc<Driver>, link: &Link, line: &[u8]) -> Result<(), String> {
+fn answered(counter: &Counter, sink: &impl EventSink, link: &Link, line: &[u8]) -> Result<(), String> {
     let text = std::str::from_utf8(line).unwrap_or("?").trim();
     let (outcome, total) = match text.split_once(' ').map_or((text, None), |(a, b)| (a, Some(b))) {
         ("ok", Some(total)) => match total.trim().parse::<f64>() {
             Ok(total) if total.is_finite() => (Outcome::Ok, total),
             _ => return Err(format!("answered {text:?}")),
         },
-        ("busy", None) => (Outcome::Full, 0.0),
-        ("error", _) => (Outcome::Full, 0.0),
-        ("pong", None) => (Outcome::Moot, 0.0),
+        ("busy", None) => (Outcome::Rejected, 0.0),
+        ("error", _) => (Outcome::Rejected, 0.0),
+        ("pong", None) => (Outcome::NotSent, 0.0),
         _ => return Err(format!("answered {text:?}")),
     };
     let call = match link.queue.borrow().owed.front() {
-        Some(owed) if owed.call.is_none() == (outcome == Outcome::Moot) => owed.call,
+        Some(owed) if owed.call.is_none() == (outcome == Outcome::NotSent) => owed.call,
         Some(_) => return Err(format!("answered {text:?} out of turn")),
         None => return Err(format!("answered {text:?} to no call")),
     };
     link.queue.borrow_mut().owed.pop_front();
-    if let Some((name, took)) = call.and_then(|call| driver.counter().settle(call, driver.now())) {
-        driver.feed(Event::Counted { name, outcome, took, total });
+    if let Some((name, elapsed)) = call.and_then(|call| counter.settle(call, sink.now())) {
+        sink.dispatch(Event::CounterReplied { key: name, outcome, elapsed, total });
     }
     Ok(())
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery/mod.rs
@@ -1,6 +1,5 @@
 //! Keeps a watch on the discovery agent and hands its changes on.
 
-use super::driver::Driver;
 use super::keep_running;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -16,7 +15,6 @@
 use std::fmt::{Display, Formatter};
 use std::future::Future;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
@@ -135,12 +133,6 @@
     fn learn(&self, list: &ServerList<'_>) -> bool;
 }
 
-impl Learn for Rc<Driver> {
-    fn learn(&self, list: &ServerList<'_>) -> bool {
-        self.servers_changed(list)
-    }
-}
-
 /// What a follower keeps to.
 #[derive(Clone, Copy)]
 pub struct Bounds {
@@ -542,9 +534,9 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/discovery.rs"]
+#[path = "../../../tests/unit/discovery.rs"]
 mod tests;
 
 #[cfg(test)]
-#[path = "../../tests/unit/follower.rs"]
+#[path = "../../../tests/unit/endpoint_watcher.rs"]
 mod follower_tests;
--- a/src/net/driver.rs
+++ b/src/net/event_loop.rs
@@ -1,16 +1,20 @@
 //! Owns the decision module: feeds it what happens on the sockets and carries out what it wants done.
 //!
-//! One `Driver` a process, on one thread. Every change enters by [`Driver::feed`], which keeps events in
+//! One `EventLoop` a process, on one thread. Every change enters by [`EventLoop::dispatch`], which keeps events in
 //! order even where carrying out an action brings up the next event at once.
 
-use super::config::{Config, Names};
 use super::counter::Counter;
-use super::discovery::{Member, ServerList};
-use super::front::has_left;
+use super::discovery::{Learn, Member, ServerList};
+use super::event_sink::EventSink;
 use super::keep_running;
-use super::upstream::{self, Forward, Pool};
-use crate::interface::*;
-use crate::logic::{patience, Gateway};
+use super::socket::is_closed_by_peer;
+use super::upstream::{self, AttemptOwner, Forward, Pool};
+use crate::action::Action;
+use crate::config::{Config, Names};
+use crate::event::{Endpoint, EndpointState, EndpointUpdate, Event, Outcome, Request};
+use crate::ids::{Millis, RequestId, ServerId};
+use crate::policy::{counter_call_timeout, Gateway};
+use crate::settings::Settings;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -24,9 +28,9 @@
 use tokio::task::AbortHandle;
 
 /// What is left for an answer's way back, ms: a client counts its wait from when it sent the request.
-const WAY_BACK: Millis = 20.0;
+const RESPONSE_MARGIN: Millis = 20.0;
 /// A request of which the module has said nothing this long before its client leaves, ms, has failed.
-const LAST_CALL: Millis = 8.0;
+const DEADLINE_MARGIN: Millis = 8.0;
 /// Between two sweeps over idle connections, ms.
 const SWEEP: Millis = 500.0;
 
@@ -112,10 +116,10 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKind {
     Module(u64),
     Attempt(RequestId, u8),
-    LastCall(RequestId),
+    Deadline(RequestId),
     Call(u64),
     Sweep,
 }
@@ -137,7 +141,7 @@
 }
 
 /// The one owner of the decision module.
-pub struct Driver {
+pub struct EventLoop {
     clock: Clock,
     names: Names,
     settings: Settings,
@@ -146,19 +150,19 @@
     state: RefCell<State>,
     events: RefCell<VecDeque<Event>>,
     feeding: Cell<bool>,
-    timers: RefCell<BinaryHeap<Reverse<(Micros, Due)>>>,
+    timers: RefCell<BinaryHeap<Reverse<(Micros, TimerKind)>>>,
     sooner: Notify,
     ready: Cell<bool>,
     /// Connections to servers.
     pub pool: Pool,
-    counter: Counter,
+    counter: Rc<Counter>,
 }
 
-impl Driver {
+impl EventLoop {
     /// A driver that already knows the list of servers in the configuration.
     pub fn new(config: &Config, most_upstream: usize) -> Rc<Self> {
         let clock = Clock::new();
-        let call_patience = patience(&config.settings);
+        let call_patience = counter_call_timeout(&config.settings);
         let state = State {
             gateway: Gateway::new(config.settings.clone(), config.seed),
             actions: Vec::new(),
@@ -167,7 +171,7 @@
             servers: HashMap::new(),
             next: 0,
         };
-        let driver = Rc::new(Driver {
+        let event_loop = Rc::new(EventLoop {
             clock,
             names: config.names.clone(),
             settings: config.settings.clone(),
@@ -180,20 +184,20 @@
             sooner: Notify::new(),
             ready: Cell::new(false),
             pool: Pool::new(config.conn_idle, config.connect_timeout, most_upstream),
-            counter: Counter::new(config.counter, call_patience),
+            counter: Rc::new(Counter::new(config.counter, call_patience)),
         });
         if let Some(known) = config.known() {
-            driver.list(&known, ListUpdate::Cached);
+            event_loop.list(&known, EndpointUpdate::Cached);
         }
-        driver.arm(driver.clock.now() + SWEEP, Due::Sweep);
-        driver
+        event_loop.arm(event_loop.clock.now() + SWEEP, TimerKind::Sweep);
+        event_loop
     }
 
     /// Runs the timers and the counter's connections for the life of the process.
     pub fn start(self: &Rc<Self>) {
-        Counter::run(self);
-        let driver = self.clone();
-        keep_running("timers", move || driver.clone().run_timers());
+        self.counter.start(self);
+        let event_loop = self.clone();
+        keep_running("timers", move || event_loop.clone().run_timers());
     }
 
     /// The time, in Unix ms.
@@ -232,23 +236,23 @@
     }
 
     /// Requests that still owe an answer.
-    pub fn owed(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         self.state.borrow().requests.values().filter(|e| !e.over()).count()
     }
 
     // ---- Events in, actions out ---------------------------------------------------------------
 
     /// Gives the module an event and carries out what it asks for.
-    pub fn feed(self: &Rc<Self>, event: Event) {
-        self.later(event);
-        self.drain();
+    pub fn dispatch(self: &Rc<Self>, event: Event) {
+        self.enqueue(event);
+        self.run_until_idle();
     }
 
     /// Works off the events that wait.
     ///
     /// A panic in here costs the event that brought it up and no more: not the task it came from (a client's
     /// connection, the timers), and not what else was to be done.
-    fn drain(self: &Rc<Self>) {
+    fn run_until_idle(self: &Rc<Self>) {
         if self.feeding.replace(true) {
             return;
         }
@@ -280,30 +284,32 @@
             state.todo.extend(state.actions.drain(..));
         }
         while let Some(action) = state.todo.pop_front() {
-            self.carry_out(state, action);
+            self.execute(state, action);
         }
     }
 
-    fn later(&self, event: Event) {
+    fn enqueue(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn execute(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
-            Action::Send { id, server, timeout } => self.send(state, id, server, timeout),
-            Action::Refuse { id, retry_after } => answer(state, id, Answer::Refused(retry_after)),
+            Action::Forward { id, server, timeout } => self.send(state, id, server, timeout),
+            Action::Reject { id, retry_after } => answer(state, id, Answer::Refused(retry_after)),
             Action::Fail(id) => answer(state, id, Answer::Failed),
-            Action::Cancel { id, attempt } => self.end(state, id, attempt, Outcome::Cancelled, Vec::new()),
-            Action::Count { name, add, ttl } => {
+            Action::Cancel { id, attempt } => self.end(state, id, attempt, Outcome::Cancelled),
+            Action::IncrementCounter { key: name, add, ttl } => {
                 let now = self.now();
                 match self.counter.call(name, add, ttl, now) {
-                    Ok(call) => self.arm(now + self.call_patience, Due::Call(call)),
-                    Err(outcome) => self.later(Event::Counted { name, outcome, took: 0.0, total: 0.0 }),
+                    Ok(call) => self.arm(now + self.call_patience, TimerKind::Call(call)),
+                    Err(outcome) => {
+                        self.enqueue(Event::CounterReplied { key: name, outcome, elapsed: 0.0, total: 0.0 })
+                    }
                 }
             }
-            Action::Timer { after, name } => self.arm(self.now() + after, Due::Module(name)),
+            Action::Timer { after, token } => self.arm(self.now() + after, TimerKind::Module(token)),
             // Discovery is pushed and probes are not allowed where this limiter stands.
-            Action::Watch | Action::Probe(_) => {}
+            Action::WatchEndpoints | Action::HealthCheck(_) => {}
         }
     }
 
@@ -324,12 +330,12 @@
             let (answer, forward, attempts) = (Some(sender), Rc::new(forward), Vec::new());
             let entry = Entry { answer, forward, client, ends, attempts };
             state.requests.insert(id, entry);
-            self.arm(ends - LAST_CALL, Due::LastCall(id));
+            self.arm(ends - DEADLINE_MARGIN, TimerKind::Deadline(id));
             id
         };
         request.id = id;
-        request.time_left = (request.time_left - WAY_BACK).max(1.0);
-        self.feed(Event::Request(request));
+        request.time_left = (request.time_left - RESPONSE_MARGIN).max(1.0);
+        self.dispatch(Event::Request(request));
         (id, receiver)
     }
 
@@ -340,7 +346,7 @@
             state.requests.get_mut(&id).is_some_and(|entry| entry.answer.take().is_some())
         };
         if waiting {
-            self.feed(Event::Gone(id));
+            self.dispatch(Event::ClientDisconnected(id));
             self.forget(id);
         }
     }
@@ -353,7 +359,7 @@
     }
 
     /// Guards against a module that says nothing: the client is answered while it still waits.
-    fn last_call(self: &Rc<Self>, id: RequestId) {
+    fn enforce_deadline(self: &Rc<Self>, id: RequestId) {
         let waiting = {
             let mut state = self.state.borrow_mut();
             match state.requests.get_mut(&id).and_then(|e| e.answer.take()) {
@@ -362,7 +368,7 @@
             }
         };
         log::debug!("request {} ended by the clock, client there: {waiting}", id.0);
-        self.feed(Event::Gone(id));
+        self.dispatch(Event::ClientDisconnected(id));
         self.forget(id);
     }
 
@@ -373,7 +379,7 @@
             state.requests.iter().filter(|(_, e)| !e.over()).map(|(id, _)| *id).collect()
         };
         for id in ids {
-            self.last_call(id);
+            self.enforce_deadline(id);
         }
     }
 
@@ -381,29 +387,29 @@
 
     fn send(self: &Rc<Self>, state: &mut State, id: RequestId, server: ServerId, timeout: Millis) {
         let now = self.now();
-        let took = 0.0;
+        let elapsed = 0.0;
         let most = self.settings.max_attempts as usize;
         let Some(entry) = state.requests.get_mut(&id) else {
-            return self.later(ended(id, 0, server, Outcome::Moot, true, took, Vec::new()));
+            return self.enqueue(ended(id, 0, server, Outcome::NotSent, true, elapsed));
         };
         let attempt = entry.attempts.len();
         let over = entry.over();
         let (task, live, sent) = (None, true, now);
         entry.attempts.push(Attempt { server, sent, live, task });
         let Ok(number) = u8::try_from(attempt) else { return };
-        let left = entry.ends - WAY_BACK - now;
+        let left = entry.ends - RESPONSE_MARGIN - now;
         let span = if timeout > 0.0 { timeout.min(left) } else { left };
         if over || span <= 0.0 || most > 0 && attempt >= most {
-            return self.end(state, id, number, Outcome::Moot, Vec::new());
+            return self.end(state, id, number, Outcome::NotSent);
         }
         let Some(address) = state.servers.get(&server).map(|s| s.address) else {
-            return self.end(state, id, number, Outcome::ConnectFailed, Vec::new());
+            return self.end(state, id, number, Outcome::ConnectFailed);
         };
         let (forward, ends) = (entry.forward.clone(), now + span);
         let job = upstream::Job { id, number, server, address, forward, ends };
         let task = tokio::task::spawn_local(upstream::attempt(self.clone(), job)).abort_handle();
         entry.attempts[attempt].task = Some(task);
-        self.arm(ends, Due::Attempt(id, number));
+        self.arm(ends, TimerKind::Attempt(id, number));
     }
 
     /// A server may be sent something new.
@@ -422,10 +428,10 @@
             let state = self.state.borrow();
             state.requests.get(&id).filter(|e| !e.over()).map(|e| e.client.clone())
         };
-        let Some(client) = client else { return Err(Outcome::Moot) };
-        if client.upgrade().is_none_or(|client| has_left(&client)) {
+        let Some(client) = client else { return Err(Outcome::NotSent) };
+        if client.upgrade().is_none_or(|client| is_closed_by_peer(&client)) {
             self.client_gone(id);
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         // Told of a drain, it counts as one that cannot be reached.
         if self.may_send(server) {
@@ -436,14 +442,7 @@
     }
 
     /// An attempt has ended on the socket; late results of ended ones are dropped.
-    pub fn attempt_ended(
-        self: &Rc<Self>,
-        id: RequestId,
-        attempt: u8,
-        outcome: Outcome,
-        body: Option<Bytes>,
-        load: Vec<f64>,
-    ) {
+    pub fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>) {
         {
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
@@ -460,14 +459,14 @@
             if let Some(a) = entry.attempts.get_mut(usize::from(attempt)) {
                 a.task = None;
             }
-            self.end(state, id, attempt, outcome, load);
+            self.end(state, id, attempt, outcome);
         }
-        self.drain();
+        self.run_until_idle();
         self.forget(id);
     }
 
     /// Ends an attempt: its task is called off, which closes its connection, and the module is told.
-    fn end(&self, state: &mut State, id: RequestId, attempt: u8, outcome: Outcome, load: Vec<f64>) {
+    fn end(&self, state: &mut State, id: RequestId, attempt: u8, outcome: Outcome) {
         let Some(entry) = state.requests.get_mut(&id) else { return };
         let over = entry.over();
         let Some(a) = entry.attempts.get_mut(usize::from(attempt)).filter(|a| a.live) else { return };
@@ -475,8 +474,8 @@
         if let Some(task) = a.task.take() {
             task.abort();
         }
-        let took = self.now() - a.sent;
-        self.later(ended(id, attempt, a.server, outcome, over, took, load));
+        let elapsed = self.now() - a.sent;
+        self.enqueue(ended(id, attempt, a.server, outcome, over, elapsed));
         if entry.settled() {
             state.requests.remove(&id);
         }
@@ -486,40 +485,41 @@
 
     /// Discovery has told something. False where an entry made no sense: what it changes is unknown.
     pub fn servers_changed(self: &Rc<Self>, list: &ServerList<'_>) -> bool {
-        let whole = self.list(list, if list.complete { ListUpdate::Full } else { ListUpdate::Delta });
+        let whole = self
+            .list(list, if list.complete { EndpointUpdate::Complete } else { EndpointUpdate::Incremental });
         self.set_ready();
         whole
     }
 
-    fn list(self: &Rc<Self>, list: &ServerList<'_>, update: ListUpdate) -> bool {
+    fn list(self: &Rc<Self>, list: &ServerList<'_>, update: EndpointUpdate) -> bool {
         let mut entries = Vec::new();
         let mut whole = true;
         {
             let mut state = self.state.borrow_mut();
             for member in list.members() {
                 let member = member.inspect_err(|e| log::warn!("discovery: an entry cannot be read: {e}"));
-                match member.ok().and_then(|member| self.learn(&mut state.servers, &member)) {
+                match member.ok().and_then(|member| self.register(&mut state.servers, &member)) {
                     Some(entry) => entries.push(entry),
                     None => whole = false,
                 }
             }
-            if update != ListUpdate::Delta {
+            if update != EndpointUpdate::Incremental {
                 let named: HashSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
                 state.servers.retain(|id, _| named.contains(id));
             }
             self.pool.keep_only(|id| state.servers.get(&id).is_some_and(|s| s.ready));
         }
-        self.feed(Event::Servers { update, entries });
+        self.dispatch(Event::EndpointsChanged { update, entries });
         whole
     }
 
     /// Takes in one line of a list, unless it makes no sense.
-    fn learn(&self, servers: &mut HashMap<ServerId, Fleet>, member: &Member<'_>) -> Option<ServerEntry> {
+    fn register(&self, servers: &mut HashMap<ServerId, Fleet>, member: &Member<'_>) -> Option<Endpoint> {
         let server = server_id(&member.id);
         let state = match member.phase.as_ref() {
-            "Ready" => ServerState::Ready,
-            "Terminating" => ServerState::Draining,
-            "Gone" => ServerState::Gone,
+            "Ready" => EndpointState::Ready,
+            "Terminating" => EndpointState::Draining,
+            "Gone" => EndpointState::Removed,
             other => {
                 log::warn!("discovery: {} is in unknown phase {other:?}", member.id);
                 return None;
@@ -529,10 +529,10 @@
             log::error!("discovery: {} has the number of another server and is left out", member.id);
             return None;
         }
-        if state == ServerState::Gone {
+        if state == EndpointState::Removed {
             servers.remove(&server);
         } else {
-            let ready = state == ServerState::Ready;
+            let ready = state == EndpointState::Ready;
             // A drain holds without an address as well.
             let known = servers.get(&server).filter(|_| !ready).map(|s| s.address);
             let address = member.host_port.parse().ok().or(known).or_else(|| {
@@ -542,7 +542,7 @@
             servers.insert(server, Fleet { id: member.id.to_string(), address, ready });
         }
         let zone = self.names.zones.iter().position(|z| *z == member.locality);
-        Some(ServerEntry {
+        Some(Endpoint {
             server,
             weight: member.size,
             zone: zone.map_or(u16::MAX, |z| z as u16),
@@ -554,7 +554,7 @@
 
     // ---- Timers -------------------------------------------------------------------------------
 
-    fn arm(&self, at: Millis, due: Due) {
+    fn arm(&self, at: Millis, due: TimerKind) {
         let at = micros(at);
         let mut timers = self.timers.borrow_mut();
         if timers.peek().is_none_or(|Reverse((first, _))| at < *first) {
@@ -581,36 +581,41 @@
             }
             let popped = self.timers.borrow_mut().pop();
             if let Some(Reverse((_, due))) = popped {
-                self.come_due(due);
+                self.timer_fired(due);
             }
         }
     }
 
-    fn come_due(self: &Rc<Self>, due: Due) {
+    fn timer_fired(self: &Rc<Self>, due: TimerKind) {
         match due {
-            Due::Module(name) => self.feed(Event::Timer(name)),
-            Due::Attempt(id, attempt) => {
+            TimerKind::Module(name) => self.dispatch(Event::Timer(name)),
+            TimerKind::Attempt(id, attempt) => {
                 let overdue = {
                     let state = self.state.borrow();
                     let entry = state.requests.get(&id);
                     entry.and_then(|e| e.attempts.get(usize::from(attempt))).is_some_and(|a| a.live)
                 };
                 if overdue {
-                    self.end(&mut self.state.borrow_mut(), id, attempt, Outcome::TimedOut, Vec::new());
-                    self.drain();
+                    self.end(&mut self.state.borrow_mut(), id, attempt, Outcome::TimedOut);
+                    self.run_until_idle();
                     self.forget(id);
                 }
             }
-            Due::LastCall(id) => self.last_call(id),
-            Due::Call(call) => {
-                if let Some((name, took)) = self.counter.settle(call, self.now()) {
-                    self.feed(Event::Counted { name, outcome: Outcome::TimedOut, took, total: 0.0 });
+            TimerKind::Deadline(id) => self.enforce_deadline(id),
+            TimerKind::Call(call) => {
+                if let Some((name, elapsed)) = self.counter.settle(call, self.now()) {
+                    self.dispatch(Event::CounterReplied {
+                        key: name,
+                        outcome: Outcome::TimedOut,
+                        elapsed,
+                        total: 0.0,
+                    });
                 }
             }
-            Due::Sweep => {
+            TimerKind::Sweep => {
                 self.pool.sweep(self.now());
                 self.counter.sweep(self.now());
-                self.arm(self.now() + SWEEP, Due::Sweep);
+                self.arm(self.now() + SWEEP, TimerKind::Sweep);
             }
         }
     }
@@ -634,10 +639,9 @@
     server: ServerId,
     outcome: Outcome,
     complete: bool,
-    took: Millis,
-    load: Vec<f64>,
+    elapsed: Millis,
 ) -> Event {
-    Event::Ended { id, attempt, server, outcome, complete, took, settled: 0.0, load }
+    Event::AttemptEnded { id, attempt, server, outcome, complete, elapsed }
 }
 
 /// The number of a server, the same at every limiter: the hexadecimal part of its id, or else a hash of it.
@@ -648,3 +652,37 @@
         id.bytes().fold(0x811c_9dc5, |h: u32, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
     }))
 }
+
+impl EventSink for Rc<EventLoop> {
+    fn now(&self) -> Millis {
+        EventLoop::now(self)
+    }
+
+    fn dispatch(&self, event: Event) {
+        EventLoop::dispatch(self, event);
+    }
+}
+
+impl AttemptOwner for Rc<EventLoop> {
+    fn pool(&self) -> &Pool {
+        &self.pool
+    }
+
+    fn may_begin(&self, id: RequestId, server: ServerId) -> Result<(), Outcome> {
+        EventLoop::may_begin(self, id, server)
+    }
+
+    fn may_send(&self, server: ServerId) -> bool {
+        EventLoop::may_send(self, server)
+    }
+
+    fn attempt_ended(&self, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>) {
+        EventLoop::attempt_ended(self, id, attempt, outcome, body);
+    }
+}
+
+impl Learn for Rc<EventLoop> {
+    fn learn(&self, list: &ServerList<'_>) -> bool {
+        self.servers_changed(list)
+    }
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,11 +1,12 @@
-//! The limiter's sockets: one module for each kind of peer round the one [`driver`], which turns what
+//! The limiter's sockets: one module for each kind of peer round the one [`event_loop`], which turns what
 //! happens on them into events of the decision module and carries out its actions.
 
-pub mod config;
+pub mod client;
 pub mod counter;
 pub mod discovery;
-pub mod driver;
-pub mod front;
+pub mod event_loop;
+pub mod event_sink;
+pub mod socket;
 pub mod upstream;
 
 use std::future::Future;
--- a/src/net/upstream.rs
+++ b/src/net/upstream/mod.rs
@@ -3,8 +3,9 @@
 //! Connections are kept here and not in a pooling client: such a client sends again by itself, and does not
 //! tell whether a request went out.
 
-use super::driver::Driver;
-use crate::interface::*;
+use super::event_sink::EventSink;
+use crate::event::Outcome;
+use crate::ids::{Millis, RequestId, ServerId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -33,8 +34,6 @@
 pub const MOST_BODY: usize = 64 * 1024;
 /// Buffer of a server's connection: room for the longest head that is read.
 const BUFFER: usize = 16 * 1024;
-/// Largest figure of a load report that is believed: far above what any server holds.
-const MOST_LOAD: f64 = 10_000.0;
 /// Share of the servers' idle time after which a connection is retired here: well before they close it, as
 /// a request that crosses with the close is lost.
 const IDLE_SHARE: f64 = 0.6;
@@ -44,7 +43,6 @@
 /// look like its own. Another connection serves meanwhile.
 const QUARANTINE: Millis = 20.0;
 
-const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 const NOT_RUN: HeaderName = HeaderName::from_static("x-unprocessed");
 const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
@@ -60,6 +58,24 @@
     pub body: Bytes,
 }
 
+/// What an attempt asks of whoever started it, and where it reports its end.
+pub trait AttemptOwner: EventSink {
+    /// Connections to servers.
+    fn pool(&self) -> &Pool;
+
+    /// Whether an attempt may begin.
+    ///
+    /// # Errors
+    /// How the attempt has ended, if it may not.
+    fn may_begin(&self, id: RequestId, server: ServerId) -> Result<(), Outcome>;
+
+    /// Whether a server may be sent something new.
+    fn may_send(&self, server: ServerId) -> bool;
+
+    /// An attempt has ended, with the response's body if there was one.
+    fn attempt_ended(&self, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>);
+}
+
 /// An attempt to be made.
 pub struct Job {
     /// The request.
@@ -80,12 +96,11 @@
 struct End {
     outcome: Outcome,
     body: Option<Bytes>,
-    load: Vec<f64>,
 }
 
 impl End {
     fn without_answer(outcome: Outcome) -> Self {
-        End { outcome, body: None, load: Vec::new() }
+        End { outcome, body: None }
     }
 }
 
@@ -312,9 +327,9 @@
     /// its place after its socket.
     async fn connect(&self, address: SocketAddr) -> Result<Connection, Outcome> {
         // What is lacking here is no fault of the server's.
-        let slot = self.slot().ok_or(Outcome::Moot)?;
+        let slot = self.slot().ok_or(Outcome::NotSent)?;
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
-        let connecting = socket.map_err(|_| Outcome::Moot)?.connect(address);
+        let connecting = socket.map_err(|_| Outcome::NotSent)?.connect(address);
         let up = tokio::time::timeout(self.connect_timeout, connecting).await;
         let stream = up.ok().and_then(Result::ok).ok_or(Outcome::ConnectFailed)?;
         stream.set_nodelay(true).map_err(|_| Outcome::ConnectFailed)?;
@@ -332,21 +347,21 @@
 }
 
 /// Reports that an attempt may have run, should its task die before it has reported anything.
-struct Report {
-    driver: Rc<Driver>,
+struct Report<O: AttemptOwner> {
+    owner: O,
     id: RequestId,
     number: u8,
     done: bool,
 }
 
-impl Report {
+impl<O: AttemptOwner> Report<O> {
     fn send(&mut self, end: End) {
         self.done = true;
-        self.driver.attempt_ended(self.id, self.number, end.outcome, end.body, end.load);
+        self.owner.attempt_ended(self.id, self.number, end.outcome, end.body);
     }
 }
 
-impl Drop for Report {
+impl<O: AttemptOwner> Drop for Report<O> {
     fn drop(&mut self) {
         if !self.done {
             self.send(End::without_answer(Outcome::Reset));
@@ -355,23 +370,23 @@
 }
 
 /// Makes one attempt and reports its end. Called off, it closes its connection.
-pub async fn attempt(driver: Rc<Driver>, job: Job) {
-    let mut report = Report { driver: driver.clone(), id: job.id, number: job.number, done: false };
-    let end = run(&driver, &job).await;
+pub async fn attempt<O: AttemptOwner + Clone + 'static>(owner: O, job: Job) {
+    let mut report = Report { owner: owner.clone(), id: job.id, number: job.number, done: false };
+    let end = run(&owner, &job).await;
     report.send(end);
 }
 
-async fn run(driver: &Rc<Driver>, job: &Job) -> End {
+async fn run<O: AttemptOwner + Clone + 'static>(owner: &O, job: &Job) -> End {
     loop {
         // Asked before a connection is taken or made, as one that is given up then is closed.
-        if let Err(outcome) = driver.may_begin(job.id, job.server) {
+        if let Err(outcome) = owner.may_begin(job.id, job.server) {
             return End::without_answer(outcome);
         }
-        let kept = driver.pool.take(job.server, job.address, driver.now());
+        let kept = owner.pool().take(job.server, job.address, owner.now());
         let fresh = kept.is_none();
         let connection = match kept {
             Some(connection) => Ok(connection),
-            None => driver.pool.connect(job.address).await,
+            None => owner.pool().connect(job.address).await,
         };
         let mut connection = match connection {
             Ok(connection) => connection,
@@ -383,17 +398,17 @@
             }
             continue;
         }
-        let (asked, id, server) = (driver.clone(), job.id, job.server);
+        let (asked, id, server) = (owner.clone(), job.id, job.server);
         connection.turn.begin(Box::new(move || asked.may_begin(id, server).is_ok()));
-        let sent = connection.sender.try_send_request(request(job, driver.now())).await;
+        let sent = connection.sender.try_send_request(request(job, owner.now())).await;
         connection.turn.end();
         match sent {
-            Ok(answer) => return receive(driver, job.server, connection, answer).await,
+            Ok(answer) => return receive(owner, job.server, connection, answer).await,
             Err(e) if connection.turn.wrote.get() => return End::without_answer(broken(e.error())),
             // A kept connection that had been closed before the first byte: nothing was sent on it.
             Err(_) if !fresh => {}
             Err(_) => {
-                let outcome = driver.may_begin(job.id, job.server).err();
+                let outcome = owner.may_begin(job.id, job.server).err();
                 return End::without_answer(outcome.unwrap_or(Outcome::ConnectFailed));
             }
         }
@@ -439,7 +454,7 @@
 /// Reads an answer whole; only then is it known to be one, and its connection free. One that is spoilt ends
 /// its connection at once, however much is still to come.
 async fn receive(
-    driver: &Rc<Driver>,
+    owner: &impl AttemptOwner,
     server: ServerId,
     connection: Connection,
     answer: Response<Incoming>,
@@ -448,35 +463,23 @@
     if !framed(&head, &body) {
         return End::without_answer(Outcome::Error);
     }
-    let load = load_report(&head.headers, &driver.names().report);
     let body = match Limited::new(body, MOST_BODY).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(e) => return End { outcome: broken(&*e), body: None, load },
+        Err(e) => return End { outcome: broken(&*e), body: None },
     };
     let closes = head.headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
-    if !closes && driver.may_send(server) {
-        driver.pool.put(server, connection, driver.now());
+    if !closes && owner.may_send(server) {
+        owner.pool().put(server, connection, owner.now());
     }
     let not_run = head.headers.get(NOT_RUN).is_some_and(|v| v.as_bytes() == b"1");
     let outcome = match head.status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    End { outcome, body: Some(body), load }
-}
-
-/// The values of a load report in the order of the settings; none if one is missing or makes no sense.
-fn load_report(headers: &HeaderMap, columns: &[String]) -> Vec<f64> {
-    let Some(text) = headers.get(LOAD).and_then(|v| v.to_str().ok()) else { return Vec::new() };
-    let value = |column: &String| {
-        let mut fields = text.split(',').filter_map(|f| f.split_once('='));
-        let (_, value) = fields.find(|(name, _)| name.trim() == column)?;
-        value.trim().parse::<f64>().ok().filter(|v| (0.0..=MOST_LOAD).contains(v))
-    };
-    columns.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
+    End { outcome, body: Some(body) }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/upstream.rs"]
+#[path = "../../../tests/unit/upstream.rs"]
 mod tests;
--- /dev/null
+++ b/src/policy/counter_calls.rs
@@ -0,0 +1,189 @@
+//! Calls to the counter service: which are made and when, and whom their replies concern.
+
+use super::batched_usage::Sync;
+use super::counter_key::COUNTER_KEY_TTL;
+use super::low_traffic::LowTrafficUsage;
+use super::random::uniform;
+use super::request::{InFlightRequest, Reservation};
+use super::sliding_window::Decision;
+use super::tenant::{Tenant, Usage};
+use super::Gateway;
+use crate::action::Action;
+use crate::event::Outcome;
+use crate::ids::{CounterKey, Millis, RequestId, TenantId};
+
+/// Whose a call in flight is.
+#[derive(Clone, Copy)]
+pub(super) struct CallOwner {
+    tenant: TenantId,
+    decision: Decision,
+}
+
+impl Tenant {
+    fn low_traffic_usage(&mut self) -> Option<&mut LowTrafficUsage> {
+        match &mut self.usage {
+            Usage::LowTraffic(usage) => Some(usage),
+            Usage::Batched(_) => None,
+        }
+    }
+}
+
+impl Gateway {
+    fn low_traffic_usage(&mut self, tenant: TenantId) -> Option<&mut LowTrafficUsage> {
+        self.tenants.get_mut(&tenant)?.low_traffic_usage()
+    }
+
+    fn may_call_counter(&self, now: Millis) -> bool {
+        self.settings.counter && self.counter_health.allows_call(now)
+    }
+
+    fn call_counter(&mut self, owner: CallOwner, key: CounterKey, add: f64) {
+        self.counter_calls.insert(key, owner);
+        self.actions.push(Action::IncrementCounter { key, add, ttl: COUNTER_KEY_TTL });
+    }
+
+    fn call_for_low_traffic(
+        &mut self,
+        tenant: TenantId,
+        key: CounterKey,
+        add: f64,
+        reserved_for: Option<RequestId>,
+    ) {
+        let Some(usage) = self.low_traffic_usage(tenant) else { return };
+        usage.call_started(key, reserved_for);
+        self.call_counter(CallOwner { tenant, decision: Decision::Accepted }, key, add);
+    }
+
+    // ---- Outgoing calls -----------------------------------------------------------------------
+
+    /// Tells the counter what is new of a tenant, if that is due.
+    pub(super) fn sync_counter(&mut self, now: Millis, tenant_id: TenantId) {
+        if !self.may_call_counter(now) {
+            return;
+        }
+        let backoff_factor = self.counter_health.backoff_factor();
+        let Some(tenant) = self.tenants.get_mut(&tenant_id).filter(|tenant| tenant.has_quota()) else {
+            self.unsynced.remove(&tenant_id);
+            return;
+        };
+        match &mut tenant.usage {
+            Usage::Batched(usage) => match usage.sync(now, tenant_id, backoff_factor) {
+                Sync::NotDue => {}
+                Sync::Idle => _ = self.unsynced.remove(&tenant_id),
+                Sync::Calls(calls) => {
+                    for call in calls {
+                        let owner = CallOwner { tenant: tenant_id, decision: call.decision };
+                        self.call_counter(owner, call.key, call.add);
+                    }
+                }
+            },
+            Usage::LowTraffic(usage) => {
+                let Some((key, add)) = usage.begin_flush(now, tenant_id, backoff_factor) else { return };
+                self.unsynced.remove(&tenant_id);
+                if add > 0.0 {
+                    self.call_for_low_traffic(tenant_id, key, add, None);
+                }
+            }
+        }
+    }
+
+    /// Makes a reservation for a request of a low-traffic tenant; for fewer of them, chosen at random, while the
+    /// counter is congested. A read that is still fresh decides without a call.
+    pub(super) fn reserve_on_counter(&mut self, now: Millis, in_flight: &mut InFlightRequest) {
+        let roll = uniform(&mut self.rng);
+        if !self.may_call_counter(now) {
+            return;
+        }
+        let backoff_factor = self.counter_health.backoff_factor();
+        let tenant = in_flight.request.tenant;
+        let units = in_flight.request.units;
+        let Some(usage) = self.low_traffic_usage(tenant) else { return };
+        if let Some(usage_with_request) = usage.fresh_usage_with(now, units) {
+            in_flight.quota_check.observed_usage = Some(usage_with_request);
+            return;
+        }
+        let chance = usage.call_chance(backoff_factor);
+        if roll < chance {
+            let (reservation, add) = usage.begin_reservation(now, tenant, units, chance);
+            in_flight.quota_check.reservation = Some(reservation);
+            in_flight.quota_check.awaiting_counter = true;
+            self.call_for_low_traffic(tenant, reservation.key, add, Some(in_flight.request.id));
+        }
+    }
+
+    /// Takes back the reservation of a request of `units` that is not forwarded. While the counter is congested
+    /// fewer calls each take back more: those left over are worth more as reads.
+    pub(super) fn release_reservation(
+        &mut self,
+        now: Millis,
+        tenant: TenantId,
+        units: f64,
+        reservation: Reservation,
+    ) {
+        let backoff_factor = self.counter_health.backoff_factor();
+        let Some(usage) = self.low_traffic_usage(tenant) else { return };
+        let released = usage.units_to_release(now, reservation, units);
+        let chance = usage.call_chance(backoff_factor);
+        if uniform(&mut self.rng) < chance && self.counter_health.allows_call(now) {
+            self.call_for_low_traffic(tenant, reservation.key, -released / chance, None);
+        }
+    }
+
+    // ---- Replies ------------------------------------------------------------------------------
+
+    /// A call has ended after `elapsed` ms; `total` counts if the outcome is `Ok`.
+    pub(super) fn counter_replied(
+        &mut self,
+        now: Millis,
+        key: CounterKey,
+        outcome: Outcome,
+        elapsed: Millis,
+        total: f64,
+    ) {
+        self.counter_health.record_reply(now, outcome, elapsed);
+        let total = (outcome == Outcome::Ok).then_some(total);
+        let Some(owner) = self.counter_calls.remove(&key) else { return };
+        let Some(tenant) = self.tenants.get_mut(&owner.tenant) else { return };
+        match &mut tenant.usage {
+            Usage::LowTraffic(_) => self.low_traffic_call_ended(now, owner, key, total),
+            Usage::Batched(_) => {
+                self.unsynced.insert(owner.tenant);
+                tenant.advance_to(now);
+                if let Usage::Batched(usage) = &mut tenant.usage {
+                    let may_have_arrived = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
+                    usage.call_ended(now, key, owner.decision, total, may_have_arrived);
+                }
+            }
+        }
+    }
+
+    fn low_traffic_call_ended(&mut self, now: Millis, owner: CallOwner, key: CounterKey, total: Option<f64>) {
+        let Some(usage) = self.low_traffic_usage(owner.tenant) else { return };
+        let reserved_for = usage.call_ended(key);
+        if usage.has_pending_call_of(key) {
+            self.counter_calls.insert(key, owner);
+        }
+        if let Some(id) = reserved_for {
+            self.reservation_replied(now, id, total);
+        }
+    }
+
+    /// The counter has answered the reservation of a request, or failed it.
+    fn reservation_replied(&mut self, now: Millis, id: RequestId, total: Option<f64>) {
+        let Some(in_flight) = self.requests.get_mut(&id) else { return };
+        let check = &mut in_flight.quota_check;
+        check.awaiting_counter = false;
+        let tenant = in_flight.request.tenant;
+        let Some(usage) = self.tenants.get_mut(&tenant).and_then(Tenant::low_traffic_usage) else { return };
+        let Some((total, reservation)) = total.zip(check.reservation) else {
+            // It may have been added all the same: the key then holds too much, and what is admitted is too little.
+            check.reservation = None;
+            return;
+        };
+        let reply = usage.record_total(now, tenant, reservation, in_flight.request.units, total);
+        check.observed_usage = Some(reply.observed_usage);
+        if let Some(correction) = reply.correction {
+            self.call_for_low_traffic(tenant, reservation.key, correction, None);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/send_rate.rs
@@ -0,0 +1,27 @@
+//! The rate of first attempts of this gateway, decaying exponentially.
+
+use crate::ids::Millis;
+
+/// Time constant of the decay, ms.
+const TIME_CONSTANT: Millis = 2000.0;
+
+/// First attempts per millisecond.
+#[derive(Default)]
+pub(super) struct SendRate {
+    per_ms: f64,
+    updated_at: Millis,
+}
+
+impl SendRate {
+    /// Counts a first attempt.
+    pub(super) fn record(&mut self, now: Millis) {
+        let decay = (-(now - self.updated_at).max(0.0) / TIME_CONSTANT).exp();
+        self.per_ms = self.per_ms * decay + 1.0 / TIME_CONSTANT;
+        self.updated_at = now;
+    }
+
+    /// First attempts per millisecond, as of the last one.
+    pub(super) fn per_ms(&self) -> f64 {
+        self.per_ms
+    }
+}
--- /dev/null
+++ b/src/policy/sliding_window.rs
@@ -0,0 +1,107 @@
+//! A sliding window of unit counts in buckets of equal width.
+
+use crate::ids::Millis;
+use std::collections::VecDeque;
+
+/// What became of units that a tenant asked for. The two are counted apart, so that a counter reply that covers
+/// only one of them never makes the other inconsistent; a tenant's demand is their sum.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Decision {
+    /// Forwarded to a server.
+    Accepted,
+    /// Not forwarded, for whatever reason.
+    Declined,
+}
+
+/// Counts of one bucket of time.
+#[derive(Clone, Copy, Default)]
+struct Bucket {
+    /// Number of the bucket: its start over the width.
+    index: i64,
+    /// Accepted by this gateway.
+    accepted_here: f64,
+    /// Accepted by all gateways, as far as known.
+    accepted: f64,
+    /// Declined by all gateways, as far as known.
+    declined: f64,
+}
+
+impl Bucket {
+    fn of(&self, decision: Decision) -> f64 {
+        match decision {
+            Decision::Accepted => self.accepted,
+            Decision::Declined => self.declined,
+        }
+    }
+}
+
+/// Units by the time at which they were asked for.
+pub(super) struct SlidingWindow {
+    bucket_width: Millis,
+    /// Ordered by index.
+    buckets: VecDeque<Bucket>,
+}
+
+impl SlidingWindow {
+    /// An empty window of buckets of this width, ms.
+    pub(super) fn new(bucket_width: Millis) -> Self {
+        SlidingWindow { bucket_width, buckets: VecDeque::new() }
+    }
+
+    fn index_at(&self, at: Millis) -> i64 {
+        (at / self.bucket_width).floor() as i64
+    }
+
+    /// Drops the buckets that began before `from`.
+    pub(super) fn drop_before(&mut self, from: Millis) {
+        let last_dropped = self.index_at(from);
+        while self.buckets.front().is_some_and(|bucket| bucket.index <= last_dropped) {
+            self.buckets.pop_front();
+        }
+    }
+
+    /// Adds units that were decided on at a time, at any gateway.
+    pub(super) fn add(&mut self, decision: Decision, at: Millis, units: f64) {
+        let bucket = self.bucket_at(at);
+        match decision {
+            Decision::Accepted => bucket.accepted += units,
+            Decision::Declined => bucket.declined += units,
+        }
+    }
+
+    /// Notes that units already added with [`SlidingWindow::add`] were accepted by this gateway.
+    pub(super) fn note_accepted_here(&mut self, at: Millis, units: f64) {
+        self.bucket_at(at).accepted_here += units;
+    }
+
+    fn bucket_at(&mut self, at: Millis) -> &mut Bucket {
+        let index = self.index_at(at);
+        let position = self.buckets.partition_point(|bucket| bucket.index < index);
+        if self.buckets.get(position).is_none_or(|bucket| bucket.index != index) {
+            self.buckets.insert(position, Bucket { index, ..Bucket::default() });
+        }
+        &mut self.buckets[position]
+    }
+
+    /// Units of one decision in the window.
+    pub(super) fn total(&self, decision: Decision) -> f64 {
+        self.buckets.iter().map(|bucket| bucket.of(decision)).sum()
+    }
+
+    /// Units of both decisions in the window.
+    pub(super) fn demand(&self) -> f64 {
+        self.total(Decision::Accepted) + self.total(Decision::Declined)
+    }
+
+    /// Units of both decisions in the buckets that began after `from`.
+    pub(super) fn demand_since(&self, from: Millis) -> f64 {
+        let last_excluded = self.index_at(from);
+        let counted = self.buckets.iter().filter(|bucket| bucket.index > last_excluded);
+        counted.map(|bucket| bucket.accepted + bucket.declined).sum()
+    }
+
+    /// Units accepted by this gateway in the window.
+    pub(super) fn accepted_here(&self) -> f64 {
+        self.buckets.iter().map(|bucket| bucket.accepted_here).sum()
+    }
+}
