--- a/tests/support/action_world.rs
+++ b/tests/support/action_world.rs
@@ -4,9 +4,9 @@
 use super::frames::{frame, record};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use rate_limiting_gateway::simulator::Host;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use topazwind::wire::Host;
 
 /// Simulated time begins here, ms.
 const START: f64 = 100_000.0;
