--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! A rate-limiting gateway in front of a fleet of servers: it holds every tenant to the quota of its plan, over all
-//! gateways together, and chooses a server for each request.
+//! A rate-limiting gateway in front of a fleet of servers: it holds every tenant to the quota of its plan,
+//! over all gateways together, and chooses a server for each request.
 //!
-//! [`policy::Gateway`] makes the decisions of one gateway: it takes [`settings`] and a seed, then [`event`]s with
-//! their times, and appends the [`action`]s to execute. It does no I/O and reads no clock. [`net`] holds the sockets
-//! of the real gateway, [`simulator`] the frames of the simulator's protocol, and [`config`] reads the settings of
-//! both.
+//! [`policy::Gateway`] makes the decisions of one gateway: it takes [`settings`] and a seed, then [`event`]s
+//! with their times, and appends the [`action`]s to execute. It does no I/O and reads no clock. [`net`] holds
+//! the sockets of the real gateway, [`simulator`] the frames of the simulator's protocol, and [`config`]
+//! reads the settings of both.
 //!
 //! ```
 //! use rate_limiting_gateway::action::Action;
@@ -14,9 +14,9 @@
 //! use rate_limiting_gateway::settings::{Class, Plan, Settings};
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { latency_objective: 500.0, deadline: 1500.0, ..Class::default() }],
-//!     plans: vec![Plan { rate: 5.0, burst: 10.0, ..Plan::default() }],
-//!     ..Settings::default()
+//! classes: vec![Class { latency_objective: 500.0, deadline: 1500.0, ..Class::default() }],
+//! plans: vec![Plan { rate: 5.0, burst: 10.0, ..Plan::default() }],
+//! ..Settings::default()
 //! };
 //! let mut gateway = Gateway::new(settings, 7);
 //! let mut actions = Vec::new();
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,8 +16,8 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Descriptors kept for all that is neither a client's nor a server's connection: the counter's (twice while it
-/// moves), discovery's, the listener and the runtime's own.
+/// Descriptors kept for all that is neither a client's nor a server's connection: the counter's (twice while
+/// it moves), discovery's, the listener and the runtime's own.
 const SPARE_SOCKETS: usize = 24;
 /// Share of the rest that goes to clients; servers get what is left. Clients hold a third of all at most for
 /// requests, and each request may need a server's connection, and a second copy another.
@@ -32,7 +32,8 @@
 const BACKLOG: u32 = 1024;
 /// Without a word from discovery the limiter serves from its last list after this.
 const LIST_WAIT: Duration = Duration::from_millis(500);
-/// After SIGTERM new connections still come for up to 0.4 s, and none is closed before this without an answer.
+/// After SIGTERM new connections still come for up to 0.4 s, and none is closed before this without an
+/// answer.
 const STILL_COMING: Duration = Duration::from_millis(450);
 /// After SIGTERM all that was taken is answered by the longest deadline, within these bounds, and this more.
 const LONGEST_FINISH: f64 = 3000.0;
@@ -99,7 +100,8 @@
     let listener = Rc::new(bind(config.listen)?);
     let address = listener.local_addr()?;
     let accepting = client_listener.clone();
-    // To the end of the process: what waits to be accepted when a listener closes is reset, and its requests lost.
+    // To the end of the process: what waits to be accepted when a listener closes is reset, and its requests
+    // lost.
     keep_running("accept", move || accepting.clone().accept(listener.clone()));
     let reaping = client_listener.clone();
     keep_running("idle reaper", move || reaping.clone().reap_idle());
@@ -172,7 +174,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Writes to standard error, a bounded number of lines a second: a log must not outgrow the troubles told in it.
+/// Writes to standard error, a bounded number of lines a second: a log must not outgrow the troubles told in
+/// it.
 struct Lines(Mutex<(Instant, u32)>);
 
 const LINES_A_SECOND: u32 = 20;
--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -1,8 +1,8 @@
-//! Quota admission of a tenant that this gateway sees often enough to count in batches: probabilistic suppression on
-//! a sliding window that the gateways share through the counter.
+//! Quota admission of a tenant that this gateway sees often enough to count in batches: probabilistic
+//! suppression on a sliding window that the gateways share through the counter.
 //!
-//! Source: the sliding-window rate limiter of the paper named in `docs/GLOSSARY.md`. Requests are rejected with
-//! probability 1 − rate / perceived rate, and all of them past a hard multiple of the quota.
+//! Source: the sliding-window rate limiter of the paper named in `docs/GLOSSARY.md`. Requests are rejected
+//! with probability 1 − rate / perceived rate, and all of them past a hard multiple of the quota.
 
 use super::admission::Admission;
 use super::counter_health::is_congested;
@@ -12,7 +12,8 @@
 use super::tenant::Quota;
 use crate::ids::{CounterKey, Millis, TenantId};
 
-/// Width of a bucket of the window, ms: a sixteenth of a window of some seconds, so that it ages in small steps.
+/// Width of a bucket of the window, ms: a sixteenth of a window of some seconds, so that it ages in small
+/// steps.
 const BUCKET_WIDTH: Millis = 250.0;
 /// Shortest time between two counter calls for a tenant, ms: one bucket.
 pub(super) const SYNC_INTERVAL: Millis = 250.0;
@@ -24,7 +25,8 @@
 const MAX_BATCH_FACTOR: f64 = 4.0;
 /// How much of the backoff, as an exponent, a tenant at its quota is spared: its stale usage costs most.
 const NEAR_QUOTA_RELIEF: f64 = 0.8;
-/// Multiple of the quota past which all is rejected. Close to 1, as what passes beyond the quota earns nothing.
+/// Multiple of the quota past which all is rejected. Close to 1, as what passes beyond the quota earns
+/// nothing.
 pub(super) const HARD_LIMIT_FACTOR: f64 = 1.05;
 /// Share of the burst kept back for what other gateways have forwarded unseen, once demand exceeds the quota.
 const QUOTA_RESERVE: f64 = 0.15;
@@ -112,8 +114,8 @@
     /// Counts a request of this gateway.
     ///
     /// While the counter is unresponsive, or too congested for this tenant to be read, the other gateways are
-    /// assumed to forward their shares at the same time. Guards against each gateway granting the full quota; the
-    /// cost is room refused where traffic moves to this gateway meanwhile. The next read corrects it.
+    /// assumed to forward their shares at the same time. Guards against each gateway granting the full quota;
+    /// the cost is room refused where traffic moves to this gateway meanwhile. The next read corrects it.
     pub(super) fn record(
         &mut self,
         now: Millis,
@@ -156,15 +158,15 @@
         }
         let burst = self.quota.burst;
         let demand = self.window.demand_since(now - self.quota.window());
-        // A tenant that asks more than its quota gets all of it either way: a reserve costs it nothing lasting, and
-        // takes up what the other gateways have forwarded unseen.
+        // A tenant that asks more than its quota gets all of it either way: a reserve costs it nothing
+        // lasting, and takes up what the other gateways have forwarded unseen.
         let reserve = if demand >= burst { QUOTA_RESERVE * burst } else { 0.0 };
         let needed = units + reserve;
         if self.window.total(Decision::Accepted) + needed <= burst {
             return Admission::Admit;
         }
-        // The window forgets that the bucket refills meanwhile: after a burst it alone would reject what the quota
-        // still holds.
+        // The window forgets that the bucket refills meanwhile: after a burst it alone would reject what the
+        // quota still holds.
         if self.bucket_level + needed <= burst {
             return Admission::Admit;
         }
@@ -206,8 +208,8 @@
         backoff_factor.powf(1.0 - NEAR_QUOTA_RELIEF * quota_used)
     }
 
-    /// What is to be told to the counter now. The first call also reads what other gateways have told; while the
-    /// counter is congested it waits until the tenant's use could matter.
+    /// What is to be told to the counter now. The first call also reads what other gateways have told; while
+    /// the counter is congested it waits until the tenant's use could matter.
     pub(super) fn sync(&mut self, now: Millis, tenant: TenantId, backoff_factor: f64) -> Sync {
         let unsent = self.accepted.unsent() + self.declined.unsent();
         let backoff = self.backoff_factor(backoff_factor);
@@ -223,35 +225,36 @@
             let idle = unsent <= 0.0 && !self.has_pending_calls();
             return if idle { Sync::Idle } else { Sync::NotDue };
         }
-        let mut calls = Vec::new();
-        self.begin_call(Decision::Accepted, now, tenant, first_read, backoff, &mut calls);
+        // All keys end together, so a congested counter is spared the closing reads of tenants far from their
+        // quota.
+        let read_closing_keys = !first_read && !is_congested(backoff);
         let declined = self.declined.unsent();
-        if batch_due && declined > 0.0 && declined >= min_units {
-            self.begin_call(Decision::Declined, now, tenant, first_read, backoff, &mut calls);
+        let declined_due = batch_due && declined > 0.0 && declined >= min_units;
+        let mut calls = self.begin_calls(Decision::Accepted, now, tenant, read_closing_keys);
+        if declined_due {
+            calls.extend(self.begin_calls(Decision::Declined, now, tenant, read_closing_keys));
         }
         Sync::Calls(calls)
     }
 
-    /// Begins a call for one decision's units, unless one is in flight; before the first call of a new span the old
-    /// key is read once more. All keys end together, so a congested counter is spared that for tenants that are far
-    /// from their quota.
-    fn begin_call(
+    /// Begins a call for one decision's units, unless one is in flight. Before the first call of a new span
+    /// the old key may be read once more, for what others added to it since the last read.
+    fn begin_calls(
         &mut self,
         decision: Decision,
         now: Millis,
         tenant: TenantId,
-        first_read: bool,
-        backoff: f64,
-        calls: &mut Vec<DueCall>,
-    ) {
+        read_closing_key: bool,
+    ) -> Vec<DueCall> {
+        let mut calls = Vec::new();
         let span = span_at(now);
         let tally = self.tally(decision);
         if tally.is_awaiting_reply() {
-            return;
+            return calls;
         }
         if tally.span() != span {
             let old_key = counter_key(tenant, decision, tally.span());
-            if !first_read && !tally.has_closing_read() && !is_congested(backoff) {
+            if read_closing_key && !tally.has_closing_read() {
                 tally.begin_closing_read(old_key);
                 calls.push(DueCall { key: old_key, decision, add: 0.0 });
             }
@@ -260,10 +263,11 @@
         let add = tally.begin_call();
         calls.push(DueCall { key: counter_key(tenant, decision, span), decision, add });
         self.last_sync = now;
+        calls
     }
 
-    /// A call has ended; `total` is what the counter answered, if it did, and `may_have_arrived` whether it may
-    /// have added the units without an answer.
+    /// A call has ended; `total` is what the counter answered, if it did, and `may_have_arrived` whether it
+    /// may have added the units without an answer.
     pub(super) fn call_ended(
         &mut self,
         now: Millis,
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -1,8 +1,9 @@
 //! A plan's hard ceiling: a token bucket that each gateway keeps for its own part of a tenant's traffic.
 //!
-//! Guards against many gateways that together exceed the ceiling because they cannot hear each other, have just
-//! restarted or find the counter down. It holds whatever the counter says, since the parts add up to the whole and
-//! a part is empty at the start. The cost: traffic that gathers on one gateway has to wait for that gateway's part.
+//! Guards against many gateways that together exceed the ceiling because they cannot hear each other, have
+//! just restarted or find the counter down. It holds whatever the counter says, since the parts add up to the
+//! whole and a part is empty at the start. The cost: traffic that gathers on one gateway has to wait for that
+//! gateway's part.
 
 use crate::ids::Millis;
 use crate::settings::Plan;
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! The concurrency limit: additive increase and multiplicative decrease (AIMD) of the attempts that this gateway has
-//! in flight, steered by response times.
+//! The concurrency limit: additive increase and multiplicative decrease (AIMD) of the attempts that this
+//! gateway has in flight, steered by response times.
 
 use crate::ids::Millis;
 
@@ -108,8 +108,8 @@
     }
 }
 
-/// Fewer attempts than the minimum cannot be a queue of this gateway's own: the servers are then slow for other
-/// causes, and a lower limit would only serve less, without end.
+/// Fewer attempts than the minimum cannot be a queue of this gateway's own: the servers are then slow for
+/// other causes, and a lower limit would only serve less, without end.
 fn decrease(limit: f64, step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
     let minimum = MIN_PER_SERVER * servers_per_gateway;
     let minimum = if subset_active { minimum } else { minimum.max(MIN_LIMIT) };
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Makes a reservation for a request of a low-traffic tenant; for fewer of them, chosen at random, while the
-    /// counter is congested. A read that is still fresh decides without a call.
+    /// Makes a reservation for a request of a low-traffic tenant; for fewer of them, chosen at random, while
+    /// the counter is congested. A read that is still fresh decides without a call.
     pub(super) fn reserve_on_counter(&mut self, now: Millis, in_flight: &mut InFlightRequest) {
         let roll = uniform(&mut self.rng);
         if !self.may_call_counter(now) {
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Takes back the reservation of a request of `units` that is not forwarded. While the counter is congested
-    /// fewer calls each take back more: those left over are worth more as reads.
+    /// Takes back the reservation of a request of `units` that is not forwarded. While the counter is
+    /// congested fewer calls each take back more: those left over are worth more as reads.
     pub(super) fn release_reservation(
         &mut self,
         now: Millis,
@@ -176,7 +176,8 @@
         let tenant = in_flight.request.tenant;
         let Some(usage) = self.tenants.get_mut(&tenant).and_then(Tenant::low_traffic_usage) else { return };
         let Some((total, reservation)) = total.zip(check.reservation) else {
-            // It may have been added all the same: the key then holds too much, and what is admitted is too little.
+            // It may have been added all the same: the key then holds too much, and what is admitted is too
+            // little.
             check.reservation = None;
             return;
         };
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -1,8 +1,8 @@
 //! How often the counter service may be called: delay-based backoff, as in TCP Vegas.
 //!
-//! All gateways call the same counter and cannot hear each other. The time that a call waits in the counter's queue
-//! is the one signal that all of them see, so each steers its own rate of calls by it and their rates agree. The
-//! backoff factor says how many times rarer than usual calls are made.
+//! All gateways call the same counter and cannot hear each other. The time that a call waits in the counter's
+//! queue is the one signal that all of them see, so each steers its own rate of calls by it and their rates
+//! agree. The backoff factor says how many times rarer than usual calls are made.
 
 use crate::event::Outcome;
 use crate::ids::Millis;
@@ -19,15 +19,15 @@
 const CONGESTED: f64 = 1.5;
 /// Age up to which a tenant's usage is trusted while the counter is congested, ms.
 const MAX_CACHE_AGE: Millis = 1500.0;
-/// Queueing delay to aim at, as a share of the counter's time-out: the counter is never idle, and most calls are
-/// answered in time.
+/// Queueing delay to aim at, as a share of the counter's time-out: the counter is never idle, and most calls
+/// are answered in time.
 const TARGET_QUEUE_SHARE: f64 = 0.5;
 /// Shortest queueing delay to aim at, ms.
 const MIN_TARGET_QUEUE: Millis = 1.0;
 /// Gain with which the baseline latency follows a counter that has become slower, for each reply.
 const BASELINE_GAIN: f64 = 0.01;
-/// Change of the factor's logarithm for a reply that queued not at all, or for twice the target. Large steps make
-/// the weights of reservations unsteady.
+/// Change of the factor's logarithm for a reply that queued not at all, or for twice the target. Large steps
+/// make the weights of reservations unsteady.
 const BACKOFF_GAIN: f64 = 0.02;
 /// Most that one slow reply counts for, in targets beyond the target.
 const MAX_EXCESS_DELAY: f64 = 2.0;
@@ -35,10 +35,11 @@
 const FAST_REPLY_SHARE: f64 = 0.5;
 /// After so many fast replies in a row there is spare capacity ...
 const FAST_REPLIES_IN_A_ROW: u32 = 4;
-/// ... and each lowers the factor's logarithm by this: few calls are left to learn from once a surge has passed.
+/// ... and each lowers the factor's logarithm by this: few calls are left to learn from once a surge has
+/// passed.
 const FAST_REPLY_STEP: f64 = 0.1;
-/// The factor rises by this at a failed call, to the power of the rejections in a row: a single one may be chance,
-/// several show that far too much is asked.
+/// The factor rises by this at a failed call, to the power of the rejections in a row: a single one may be
+/// chance, several show that far too much is asked.
 const REJECTION_FACTOR: f64 = 1.4;
 const MAX_REJECTIONS_IN_A_ROW: u32 = 4;
 /// Upper bound of the factor: for a counter that bears one request in hundreds.
@@ -98,7 +99,8 @@
         self.backoff_factor
     }
 
-    /// Age past which a tenant's usage, as last read, says nothing of the other gateways; `None`: it always does.
+    /// Age past which a tenant's usage, as last read, says nothing of the other gateways; `None`: it always
+    /// does.
     pub(super) fn max_cache_age(&self) -> Option<Millis> {
         if self.unresponsive {
             Some(0.0)
--- a/src/policy/counter_key.rs
+++ b/src/policy/counter_key.rs
@@ -1,10 +1,11 @@
-//! Names of the numbers that the counter service keeps for a tenant. A number lives for a limited span only, so
-//! that what is known of a tenant's use starts anew now and then and errors do not add up.
+//! Names of the numbers that the counter service keeps for a tenant. A number lives for a limited span only,
+//! so that what is known of a tenant's use starts anew now and then and errors do not add up.
 
 use super::sliding_window::Decision;
 use crate::ids::{CounterKey, Millis, TenantId};
 
-/// Span of one counter key, ms: half of [`COUNTER_KEY_TTL`], so that a key can be read once more after its span.
+/// Span of one counter key, ms: half of [`COUNTER_KEY_TTL`], so that a key can be read once more after its
+/// span.
 pub(super) const COUNTER_KEY_SPAN: Millis = 30_000.0;
 /// Time after which the counter service forgets a key, ms: the longest that it allows.
 pub(super) const COUNTER_KEY_TTL: Millis = 60_000.0;
--- a/src/policy/endpoint_health.rs
+++ b/src/policy/endpoint_health.rs
@@ -7,8 +7,8 @@
 
 /// Gain of a response time in a server's mean: about the last ten count.
 const LATENCY_GAIN: f64 = 0.1;
-/// The same for an attempt that timed out or was cancelled, where samples are few: it may be the only sign of a
-/// server that has become slow.
+/// The same for an attempt that timed out or was cancelled, where samples are few: it may be the only sign of
+/// a server that has become slow.
 const ABANDONED_GAIN: f64 = 0.4;
 /// Consecutive failures that eject a server.
 const FAILURES_TO_EJECT: u32 = 3;
@@ -16,8 +16,8 @@
 const BASE_EJECTION_TIME: Millis = 1000.0;
 /// ... up to two to this power.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Ejections last this many times longer where a server is met every few seconds only: they have to outlast the
-/// time between two requests to it.
+/// Ejections last this many times longer where a server is met every few seconds only: they have to outlast
+/// the time between two requests to it.
 const SUBSET_EJECTION_FACTOR: f64 = 3.0;
 /// A server that rejected a request for lack of capacity is passed over for this long, ms ...
 const REJECTION_PAUSE: Millis = 100.0;
@@ -58,8 +58,8 @@
 }
 
 impl TrackedEndpoint {
-    /// Takes in its entry of the list. After a restart all that was known is void, but attempts at the old process
-    /// still have to end; `fleet_latency` is the mean that it starts with.
+    /// Takes in its entry of the list. After a restart all that was known is void, but attempts at the old
+    /// process still have to end; `fleet_latency` is the mean that it starts with.
     pub(super) fn update(&mut self, now: Millis, endpoint: Endpoint, fleet_latency: MeanLatency) {
         let restarted = self.endpoint.started != endpoint.started;
         if self.last_sample_at.is_none() || restarted {
@@ -93,7 +93,8 @@
         self.slow_start_tokens.spend();
     }
 
-    /// Takes the end of an attempt as evidence. `samples_are_rare` where the server is met every few seconds only.
+    /// Takes the end of an attempt as evidence. `samples_are_rare` where the server is met every few seconds
+    /// only.
     pub(super) fn record_outcome(
         &mut self,
         now: Millis,
--- a/src/policy/endpoint_index.rs
+++ b/src/policy/endpoint_index.rs
@@ -1,6 +1,6 @@
 //! The servers of the list in a gateway's own order, in blocks with bit masks and counts that are kept up by
-//! changes, so that a search passes up to 64 servers at a time. It holds no rule: how a server counts, and until
-//! when, its caller says.
+//! changes, so that a search passes up to 64 servers at a time. It holds no rule: how a server counts, and
+//! until when, its caller says.
 
 use super::endpoint_block::{Block, Slot, BLOCK_CAPACITY, MERGE_SIZE};
 use super::endpoint_health::{HealthState, TrackedEndpoint};
@@ -113,7 +113,8 @@
         &mut self.blocks[position.block].slots[position.slot].server
     }
 
-    /// Finds a server, or inserts one of which nothing is counted yet, and marks it as named by the present list.
+    /// Finds a server, or inserts one of which nothing is counted yet, and marks it as named by the present
+    /// list.
     pub(super) fn enter(&mut self, server: ServerId) -> EndpointPosition {
         let key = self.key(server);
         let position = self.search(key).unwrap_or_else(|position| self.insert(key, position));
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -1,9 +1,9 @@
-//! The server that an attempt goes to: the cheapest by peak-sensitive response time and attempts in flight, of all
-//! servers, or of two at random (power of two choices) where this gateway keeps to a subset.
+//! The server that an attempt goes to: the cheapest by peak-sensitive response time and attempts in flight,
+//! of all servers, or of two at random (power of two choices) where this gateway keeps to a subset.
 //!
-//! Guards of the subset: with many servers and little traffic, evidence of each comes too rarely to act on. A subset
-//! in an order of this gateway's own is met often enough, and of two members compared at random not all gateways
-//! take the same server at once. The cost is uneven shares.
+//! Guards of the subset: with many servers and little traffic, evidence of each comes too rarely to act on. A
+//! subset in an order of this gateway's own is met often enough, and of two members compared at random not
+//! all gateways take the same server at once. The cost is uneven shares.
 
 use super::candidate_set::{Candidate, CandidateSet};
 use super::endpoint_block::{bits_below, positions_of, Locality};
@@ -216,8 +216,8 @@
         let allowed = self.allowed_servers(request);
         let excluded = self.already_attempted(request);
         let rate_per_server = send_rate / self.index.warm().max(1) as f64;
-        // Ejection holds while half of the fleet is healthy. Past that the trouble is everyone's, and only servers
-        // that cannot be reached stay out.
+        // Ejection holds while half of the fleet is healthy. Past that the trouble is everyone's, and only
+        // servers that cannot be reached stay out.
         let ejection_active = 2 * self.index.healthy() >= self.index.ready();
         let mut candidates = std::mem::take(&mut self.candidates);
         candidates.begin(max_size);
@@ -276,7 +276,8 @@
         warm_fraction >= 1.0 || server.slow_start_tokens.refill(now, warm_fraction, rate_per_server)
     }
 
-    /// Takes a candidate if it is cheaper: by its response time, the attempts in flight at it and its capacity.
+    /// Takes a candidate if it is cheaper: by its response time, the attempts in flight at it and its
+    /// capacity.
     fn compare(
         &mut self,
         now: Millis,
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -4,8 +4,8 @@
 use super::Gateway;
 use crate::ids::{Millis, RequestId};
 
-/// A hedged request goes out after this many mean response times of its class: late, as it is for lost attempts
-/// only.
+/// A hedged request goes out after this many mean response times of its class: late, as it is for lost
+/// attempts only.
 const HEDGE_DELAY_FACTOR: f64 = 8.0;
 
 impl Gateway {
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -1,15 +1,17 @@
-//! Quota admission of a low-traffic tenant: one of which each gateway sees too little to count in batches. In a
-//! large fleet that is almost every tenant, and a gateway then knows nothing of a tenant that it has not just read.
+//! Quota admission of a low-traffic tenant: one of which each gateway sees too little to count in batches. In
+//! a large fleet that is almost every tenant, and a gateway then knows nothing of a tenant that it has not
+//! just read.
 //!
-//! The count is therefore kept where all gateways can act on it at once. A counter key holds the units accepted
-//! since its span began; less what the rate has yielded since then, that is the use in the sliding window. One call
-//! both makes a reservation for a request and reads that use, which decides on the request; the reservation of a
-//! request that is declined is released. While the counter is congested fewer requests make a call, chosen at
-//! random, and each call then stands for more; a request without a call is rejected with the tenant's recent
-//! rejection ratio.
+//! The count is therefore kept where all gateways can act on it at once. A counter key holds the units
+//! accepted since its span began; less what the rate has yielded since then, that is the use in the sliding
+//! window. One call both makes a reservation for a request and reads that use, which decides on the request;
+//! the reservation of a request that is declined is released. While the counter is congested fewer requests
+//! make a call, chosen at random, and each call then stands for more; a request without a call is rejected
+//! with the tenant's recent rejection ratio.
 //!
-//! Guards against gateways that each estimate a rate and then all admit the same excess, or all reject the same
-//! room. It covers skewed traffic, spikes and restarts without memory; the cost is a call wherever no read is fresh.
+//! Guards against gateways that each estimate a rate and then all admit the same excess, or all reject the
+//! same room. It covers skewed traffic, spikes and restarts without memory; the cost is a call wherever no
+//! read is fresh.
 
 use super::admission::Admission;
 use super::batched_usage::{HARD_LIMIT_FACTOR, SYNC_INTERVAL};
@@ -20,22 +22,23 @@
 use crate::ids::{CounterKey, Millis, RequestId, TenantId};
 use std::collections::VecDeque;
 
-/// Power of the backoff factor for a tenant with a ceiling: the ceiling holds it anyway, so it gives way to the
-/// others while the counter is congested.
+/// Power of the backoff factor for a tenant with a ceiling: the ceiling holds it anyway, so it gives way to
+/// the others while the counter is congested.
 const CEILING_BACKOFF_POWER: f64 = 3.0;
 /// Least chance of a call for such a tenant, unless the others' is smaller.
 const MIN_CALL_CHANCE: f64 = 0.1;
-/// A total that lags behind what the rate has yielded by more than this share of the burst is raised: units saved up
-/// beyond the burst would else be admitted at once. Smaller lags are left, which spares calls.
+/// A total that lags behind what the rate has yielded by more than this share of the burst is raised: units
+/// saved up beyond the burst would else be admitted at once. Smaller lags are left, which spares calls.
 const MAX_LAG: f64 = 1.0;
 /// A total that leads by more than this share of the burst is lowered: two gateways have raised it at once.
 const MAX_LEAD: f64 = 2.0;
 /// Gain of the recent rejection ratio for a decision on a read.
 const REJECTION_RATIO_GAIN: f64 = 0.3;
-/// Time constant with which the recent rejection ratio decays, ms: tenants exceed their quotas for seconds to hours.
+/// Time constant with which the recent rejection ratio decays, ms: tenants exceed their quotas for seconds to
+/// hours.
 const REJECTION_RATIO_TIME_CONSTANT: Millis = 30_000.0;
-/// Keys of tenants are staggered over the span in so many steps: all ending at once would bring on corrections of
-/// all tenants together.
+/// Keys of tenants are staggered over the span in so many steps: all ending at once would bring on
+/// corrections of all tenants together.
 const SPAN_STEPS: u64 = 64;
 
 /// A counter call in flight.
@@ -96,8 +99,8 @@
         }
     }
 
-    /// The present key. What the key before still holds is forgiven, a burst at most: reading it would cost more
-    /// calls.
+    /// The present key. What the key before still holds is forgiven, a burst at most: reading it would cost
+    /// more calls.
     fn key_span(&self, tenant: TenantId, now: Millis) -> KeySpan {
         let phase = (tenant.0 % SPAN_STEPS) as f64 / SPAN_STEPS as f64 * COUNTER_KEY_SPAN;
         let shifted = now + phase;
@@ -120,8 +123,8 @@
 
     // ---- Calls --------------------------------------------------------------------------------
 
-    /// A reservation for a request, standing for all those that make no call; and the units to add for it, with
-    /// what is unsent.
+    /// A reservation for a request, standing for all those that make no call; and the units to add for it,
+    /// with what is unsent.
     pub(super) fn begin_reservation(
         &mut self,
         now: Millis,
@@ -147,8 +150,8 @@
         Some((self.key_span(tenant, now).key, std::mem::take(&mut self.unsent)))
     }
 
-    /// Units to take back for a reservation of a request of `units` that is not forwarded. What stands for requests
-    /// that were admitted without a call stays.
+    /// Units to take back for a reservation of a request of `units` that is not forwarded. What stands for
+    /// requests that were admitted without a call stays.
     pub(super) fn units_to_release(&self, now: Millis, reservation: Reservation, units: f64) -> f64 {
         units + (reservation.units - units) * self.recent_rejection_ratio(now)
     }
@@ -157,7 +160,8 @@
         self.pending_calls.push_back(PendingCall { key, reserved_for });
     }
 
-    /// The oldest call of a key has ended, as calls of one key end in order: the request whose reservation it made.
+    /// The oldest call of a key has ended, as calls of one key end in order: the request whose reservation it
+    /// made.
     pub(super) fn call_ended(&mut self, key: CounterKey) -> Option<RequestId> {
         let position = self.pending_calls.iter().position(|call| call.key == key)?;
         self.pending_calls.remove(position)?.reserved_for
@@ -194,8 +198,8 @@
 
     // ---- Admission ----------------------------------------------------------------------------
 
-    /// Whether the quota admits a request: by its use as just read, or else by the recent rejection ratio. `roll` is
-    /// a uniform draw from 0 to 1.
+    /// Whether the quota admits a request: by its use as just read, or else by the recent rejection ratio.
+    /// `roll` is a uniform draw from 0 to 1.
     pub(super) fn admit(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> Admission {
         let burst = self.quota.burst;
         let admitted = match check.observed_usage {
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -5,7 +5,8 @@
 
 /// Requests queued, as a share of the concurrency limit; past it those of least value are rejected early.
 const MAX_QUEUE_SHARE: f64 = 0.5;
-/// A queued request's value falls by its waiting time, from this many times to the rest of it at its objective.
+/// A queued request's value falls by its waiting time, from this many times to the rest of it at its
+/// objective.
 const FRESH_FACTOR: f64 = 1.2;
 
 /// A queued request and how much it matters.
@@ -53,8 +54,8 @@
         order
     }
 
-    /// Value of a request per millisecond of service. Newer ones first among equals: under pressure the oldest would
-    /// only just miss their objective.
+    /// Value of a request per millisecond of service. Newer ones first among equals: under pressure the
+    /// oldest would only just miss their objective.
     fn value_of(&self, now: Millis, id: RequestId) -> Option<f64> {
         let in_flight = self.requests.get(&id)?;
         let plan = self.settings.plans.get(in_flight.request.plan.0);
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -1,5 +1,5 @@
-//! Uniform random numbers from a gateway's own generator. Their order is part of a gateway's behaviour: the same
-//! events and seed give the same actions.
+//! Uniform random numbers from a gateway's own generator. Their order is part of a gateway's behaviour: the
+//! same events and seed give the same actions.
 
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -83,8 +83,8 @@
         (until - now).max(1.0)
     }
 
-    /// Whether another attempt would break neither the idempotency of the class nor the number of attempts allowed
-    /// (0: any number). A window for repeats counts as over one housekeeping interval early.
+    /// Whether another attempt would break neither the idempotency of the class nor the number of attempts
+    /// allowed (0: any number). A window for repeats counts as over one housekeeping interval early.
     pub(super) fn may_attempt_again(&self, now: Millis, max_attempts: u32) -> bool {
         let idempotency_allows = match (self.class.idempotency, self.first_possible_execution()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -83,8 +83,8 @@
         admit(now, in_flight, tenant, roll)
     }
 
-    /// Whether a queued request can still meet its objective, with time for one housekeeping, and the ceiling will
-    /// bear it by then.
+    /// Whether a queued request can still meet its objective, with time for one housekeeping, and the ceiling
+    /// will bear it by then.
     pub(super) fn can_meet_objective(&self, now: Millis, id: RequestId) -> bool {
         let Some(in_flight) = self.requests.get(&id) else { return false };
         let request = &in_flight.request;
@@ -207,7 +207,8 @@
         self.actions.push(action);
     }
 
-    /// When a rejected client may find room, ms: once its quota has refilled, and no sooner than a response takes.
+    /// When a rejected client may find room, ms: once its quota has refilled, and no sooner than a response
+    /// takes.
     fn retry_after(&self, in_flight: &InFlightRequest) -> Millis {
         let request = &in_flight.request;
         let Some(tenant) = self.tenants.get(&request.tenant) else { return 0.0 };
@@ -215,8 +216,8 @@
         wait.min(self.settings.max_retry_after)
     }
 
-    /// A request needs nothing more, for whatever reason: one that was never forwarded counts as declined, and
-    /// attempts that are still live are cancelled.
+    /// A request needs nothing more, for whatever reason: one that was never forwarded counts as declined,
+    /// and attempts that are still live are cancelled.
     pub(super) fn complete(&mut self, now: Millis, id: RequestId) {
         let Some(in_flight) = self.requests.get_mut(&id) else { return };
         in_flight.finished = true;
--- a/src/policy/sliding_window.rs
+++ b/src/policy/sliding_window.rs
@@ -3,8 +3,8 @@
 use crate::ids::Millis;
 use std::collections::VecDeque;
 
-/// What became of units that a tenant asked for. The two are counted apart, so that a counter reply that covers
-/// only one of them never makes the other inconsistent; a tenant's demand is their sum.
+/// What became of units that a tenant asked for. The two are counted apart, so that a counter reply that
+/// covers only one of them never makes the other inconsistent; a tenant's demand is their sum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Decision {
     /// Forwarded to a server.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,8 +1,9 @@
-//! Slow start: how much a server that has just started may be sent, so that it does not collapse under the sum of
-//! what all gateways send.
+//! Slow start: how much a server that has just started may be sent, so that it does not collapse under the
+//! sum of what all gateways send.
 //!
-//! Each gateway sends a starting server no more than its own mean rate to a warm one, scaled by the capacity that
-//! the server surely has by then. Guards against a server toppled by a burst, or by all gateways at once.
+//! Each gateway sends a starting server no more than its own mean rate to a warm one, scaled by the capacity
+//! that the server surely has by then. Guards against a server toppled by a burst, or by all gateways at
+//! once.
 
 use crate::ids::Millis;
 use crate::settings::Settings;
@@ -25,8 +26,8 @@
         SlowStart { initial_capacity: settings.slow_start_capacity, window: settings.slow_start_window }
     }
 
-    /// Share of its full capacity that a server that started at a time surely has by now; a start at 0 was long
-    /// ago.
+    /// Share of its full capacity that a server that started at a time surely has by now; a start at 0 was
+    /// long ago.
     pub(super) fn warm_fraction(&self, now: Millis, started: Millis) -> f64 {
         let age = now - started;
         if started <= 0.0 || age >= self.window {
@@ -58,8 +59,8 @@
         SlowStartTokens { tokens: 0.0, refilled_at: started }
     }
 
-    /// Refills at the rate to a warm server, attempts per millisecond, times the warm fraction; whether an attempt
-    /// may be sent.
+    /// Refills at the rate to a warm server, attempts per millisecond, times the warm fraction; whether an
+    /// attempt may be sent.
     pub(super) fn refill(&mut self, now: Millis, warm_fraction: f64, rate_per_server: f64) -> bool {
         let rate = warm_fraction * rate_per_server.max(MIN_RATE_PER_SERVER);
         let refilled = self.tokens + (now - self.refilled_at).max(0.0) * rate;
--- a/src/policy/tally.rs
+++ b/src/policy/tally.rs
@@ -109,7 +109,8 @@
         Some(RemoteUnits { units, since: self.read_at })
     }
 
-    /// Takes in the total that the counter answered: what rose beyond this gateway's own units is the others'.
+    /// Takes in the total that the counter answered: what rose beyond this gateway's own units is the
+    /// others'.
     pub(super) fn record_total(&mut self, now: Millis, total: f64) -> RemoteUnits {
         let sent = self.awaiting_reply.take().unwrap_or(0.0);
         // A total below the last one and this call's units: the counter has restarted empty.
@@ -127,7 +128,8 @@
         RemoteUnits { units: rise - arrived, since }
     }
 
-    /// The call ended without a reply; `may_have_arrived` where the counter may have added its units all the same.
+    /// The call ended without a reply; `may_have_arrived` where the counter may have added its units all the
+    /// same.
     pub(super) fn record_failure(&mut self, may_have_arrived: bool) {
         let sent = self.awaiting_reply.take().unwrap_or(0.0);
         if may_have_arrived {
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -8,11 +8,11 @@
 use crate::ids::Millis;
 use crate::settings::Plan;
 
-/// A tenant idle for this long is forgotten, ms, once its buckets have refilled. At least the span of a counter
-/// key, so that a key's old units are not read again; much longer would keep all that come only once.
+/// A tenant idle for this long is forgotten, ms, once its buckets have refilled. At least the span of a
+/// counter key, so that a key's old units are not read again; much longer would keep all that come only once.
 const EVICT_IDLE_AFTER: Millis = COUNTER_KEY_SPAN;
-/// A gateway sees too little of a tenant to count in batches where its part of the burst is under this share of the
-/// largest request.
+/// A gateway sees too little of a tenant to count in batches where its part of the burst is under this share
+/// of the largest request.
 const LOW_TRAFFIC_SHARE: f64 = 0.75;
 /// The same for a tenant with a ceiling.
 const LOW_TRAFFIC_SHARE_WITH_CEILING: f64 = 2.0;
@@ -130,8 +130,9 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// Whether this gateway's part of the plan's limit on attempts in flight is used up. A fair part each holds the
-    /// limit though the gateways cannot hear each other; a tenant that gathers on one gateway waits for a slot.
+    /// Whether this gateway's part of the plan's limit on attempts in flight is used up. A fair part each
+    /// holds the limit though the gateways cannot hear each other; a tenant that gathers on one gateway waits
+    /// for a slot.
     pub(super) fn is_at_in_flight_limit(&self) -> bool {
         let limit = self.plan.max_in_flight;
         limit > 0.0 && self.in_flight >= (limit / self.gateway_count).floor().max(1.0)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a gateway is told once, at its start: request classes, plans and the limits of the deployment.
 //!
-//! The configuration file and the simulator name these fields otherwise; `docs/GLOSSARY.md` maps the names, and
-//! [`crate::config`] reads both forms.
+//! The configuration file and the simulator name these fields otherwise; `docs/GLOSSARY.md` maps the names,
+//! and [`crate::config`] reads both forms.
 
 use crate::ids::Millis;
 
