--- a/tests/action_stream.rs
+++ b/tests/action_stream.rs
@@ -56,6 +56,20 @@
     plans.count=1\nplans.0.rate=5.0\nplans.0.store_size=10.0\n\
     ceilings.max_retry_after=0.0\nfamily_info.shared_counter=false\ndiscovery=on_request\n";
 
+/// A short window for repeated idempotency keys under a long latency objective.
+const SHORT_WINDOW: &str = "balancers=2\nzone=0\nareas=a,b\n\
+    classes.count=2\n\
+    classes.0.deadline=2000.0\nclasses.0.goal_time=900.0\nclasses.0.idempotency=guarded\nclasses.0.group=all\n\
+    classes.0.repeat_window=300.0\nclasses.0.importance=3.0\nclasses.0.late_value=0.2\n\
+    classes.1.deadline=1500.0\nclasses.1.goal_time=700.0\nclasses.1.idempotency=free\n\
+    classes.1.importance=1.0\nclasses.1.late_value=0.0\n\
+    plans.count=2\n\
+    plans.0.rate=6.0\nplans.0.store_size=30.0\n\
+    plans.1.rate=1.0\nplans.1.store_size=1.2\n\
+    ceilings.cancelling=true\nceilings.parallel_tries=true\nceilings.max_attempts=4\n\
+    ceilings.max_retry_after=1000.0\nfamily_info.shared_counter=true\nfamily_info.counter_timeout=30.0\n\
+    family_info.max_units=1\nsafety.start_capacity=0.2\nsafety.warm_after=4000.0\ndiscovery=pushed\n";
+
 fn holds(scenario: &Scenario, expected: u64) {
     let mut world = World::new(scenario);
     let digest = world.play();
@@ -115,3 +129,10 @@
     let scenario = Scenario::quiet(WITHOUT_COUNTER, 7).with_all_faults();
     holds(&Scenario { limiters: 2, servers: 10, tenants: 8, rate: 120.0, ..scenario }, 0x5c92_2ed1_f426_9e21);
 }
+
+#[test]
+fn long_faults_and_tenants_that_return() {
+    let scenario = Scenario { long_faults: true, ..Scenario::quiet(SHORT_WINDOW, 8).with_all_faults() };
+    let scenario = Scenario { limiters: 2, servers: 8, tenants: 10, rate: 120.0, ..scenario };
+    holds(&Scenario { span: 130_000.0, ..scenario }, 0x464d_b8cf_8013_4b0d);
+}
--- a/tests/support/action_world.rs
+++ b/tests/support/action_world.rs
@@ -48,6 +48,9 @@
     pub counter_delay: f64,
     /// Share of the calls that are turned away.
     pub counter_rejects: f64,
+    /// Every second phase of 20 s has other tenants, so that tenants fall idle and return; all calls of 5 s are
+    /// turned away; a server that breaks stays so for 30 s; connections are reset after about 300 ms.
+    pub long_faults: bool,
 }
 
 impl Scenario {
@@ -66,6 +69,7 @@
             counter_faults: false,
             counter_delay: 3.0,
             counter_rejects: 0.0,
+            long_faults: false,
         }
     }
 
@@ -266,7 +270,11 @@
         let limiter = self.pick(u64::from(self.scenario.limiters)) as u32;
         // Few tenants ask for most, so that some go beyond their quota.
         let skewed = self.roll() * self.roll();
-        let tenant = (skewed * self.scenario.tenants as f64) as u64;
+        let mut tenant = (skewed * self.scenario.tenants as f64) as u64;
+        if self.scenario.long_faults {
+            let phase = (self.elapsed() / 20_000.0) as u64;
+            tenant += phase % 3 * self.scenario.tenants;
+        }
         let classes = setting(self.scenario.settings, "classes.count");
         let plans = setting(self.scenario.settings, "plans.count");
         let class = self.pick(classes) as u16;
@@ -329,6 +337,7 @@
         if !self.scenario.server_faults {
             return;
         }
+        let broken_for = if self.scenario.long_faults { 30_000.0 } else { 4000.0 };
         let mut changed = Vec::new();
         for _ in 0..1 + self.scenario.servers / 10 {
             let number = self.pick(u64::from(self.scenario.servers)) as u32;
@@ -336,7 +345,7 @@
             let now = self.now;
             let server = &mut self.servers[number as usize];
             match server.state {
-                READY if roll < 0.4 => server.broken_until = now + 4000.0,
+                READY if roll < 0.4 => server.broken_until = now + broken_for,
                 READY if roll < 0.7 => server.state = DRAINING,
                 READY => server.state = REMOVED,
                 _ => (server.state, server.started, server.broken_until) = (READY, now, 0.0),
@@ -439,6 +448,7 @@
         }
         match roll {
             _ if !self.scenario.server_faults => (usual, OK),
+            r if self.scenario.long_faults && r < 0.2 => (250.0 + 300.0 * r, RESET),
             r if r < 0.01 => (usual / 2.0, RESET),
             r if r < 0.02 => (usual / 4.0, ERROR),
             r if r < 0.03 => (1.0, REJECTED),
@@ -453,7 +463,8 @@
         let lost = self.scenario.counter_faults && self.roll() < 0.03;
         let mut took = self.scenario.counter_delay * (0.5 + self.roll());
         let mut outcome = OK;
-        if self.roll() < self.scenario.counter_rejects {
+        let all_rejected = self.scenario.long_faults && (30_000.0..35_000.0).contains(&self.elapsed());
+        if self.roll() < self.scenario.counter_rejects || all_rejected {
             (took, outcome) = (1.0, REJECTED);
         } else if silent {
             (took, outcome) = (30.0, if name % 2 == 0 { TIMED_OUT } else { CONNECT_FAILED });
