--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -40,7 +40,7 @@
 enum AllowedServers {
     All,
     /// Those that share the idempotency keys of the server that may have executed the request.
-    Within(Locality),
+    SameLocality(Locality),
     None,
 }
 
@@ -195,7 +195,7 @@
             }
             Idempotency::NonIdempotent => None,
         };
-        locality.map_or(AllowedServers::None, AllowedServers::Within)
+        locality.map_or(AllowedServers::None, AllowedServers::SameLocality)
     }
 
     /// Servers that the request was sent to before. Where only one takes requests, it is tried again.
@@ -233,7 +233,7 @@
             }
             members &= match allowed {
                 AllowedServers::All => u64::MAX,
-                AllowedServers::Within(locality) => block.members_of(locality),
+                AllowedServers::SameLocality(locality) => block.members_of(locality),
                 AllowedServers::None => 0,
             };
             let block_len = block.slots.len();
