--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -3,11 +3,13 @@
 //! One `EventLoop` a process, on one thread. Every change enters by [`EventLoop::dispatch`], which keeps events in
 //! order even where carrying out an action brings up the next event at once.
 
+use super::clock::Clock;
 use super::counter::Counter;
 use super::discovery::{Learn, Member, ServerList};
 use super::event_sink::EventSink;
-use super::keep_running;
 use super::socket::is_closed_by_peer;
+use super::supervisor::keep_running;
+use super::timer_queue::{AttemptId, TimerKind, TimerQueue};
 use super::upstream::{self, AttemptOwner, Forward, Pool};
 use crate::action::Action;
 use crate::config::{Config, Names};
@@ -17,14 +19,13 @@
 use crate::settings::Settings;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
+use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::{Rc, Weak};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::sync::{oneshot, Notify};
+use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
 /// What is left for an answer's way back, ms: a client counts its wait from when it sent the request.
@@ -34,33 +35,6 @@
 /// Between two sweeps over idle connections, ms.
 const SWEEP: Millis = 500.0;
 
-/// The clock that all limiters share: Unix time at the start, and from there on the monotonic clock.
-///
-/// The module names the counter's buckets by time, so limiters with clocks of their own would count apart;
-/// and a system clock that is set back must not reach it.
-#[derive(Clone, Copy)]
-pub struct Clock {
-    unix: Millis,
-    start: Instant,
-}
-
-impl Clock {
-    /// Reads the system's clocks.
-    fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_secs_f64() * 1000.0, start: Instant::now() }
-    }
-
-    /// Unix time in ms; never runs backwards.
-    pub fn now(&self) -> Millis {
-        self.unix + self.start.elapsed().as_secs_f64() * 1000.0
-    }
-
-    fn instant(&self, at: Millis) -> Instant {
-        self.start + Duration::from_secs_f64(((at - self.unix) / 1000.0).max(0.0))
-    }
-}
-
 /// The one final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
@@ -115,22 +89,6 @@
     ready: bool,
 }
 
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum TimerKind {
-    Module(u64),
-    Attempt(RequestId, u8),
-    Deadline(RequestId),
-    Call(u64),
-    Sweep,
-}
-
-/// A time in whole microseconds, which can be ordered.
-type Micros = u64;
-
-fn micros(at: Millis) -> Micros {
-    (at * 1000.0).max(0.0) as Micros
-}
-
 struct State {
     gateway: Gateway,
     actions: Vec<Action>,
@@ -150,8 +108,7 @@
     state: RefCell<State>,
     events: RefCell<VecDeque<Event>>,
     feeding: Cell<bool>,
-    timers: RefCell<BinaryHeap<Reverse<(Micros, TimerKind)>>>,
-    sooner: Notify,
+    timers: TimerQueue,
     ready: Cell<bool>,
     /// Connections to servers.
     pub pool: Pool,
@@ -161,7 +118,7 @@
 impl EventLoop {
     /// A driver that already knows the list of servers in the configuration.
     pub fn new(config: &Config, most_upstream: usize) -> Rc<Self> {
-        let clock = Clock::new();
+        let clock = Clock::start();
         let call_patience = counter_call_timeout(&config.settings);
         let state = State {
             gateway: Gateway::new(config.settings.clone(), config.seed),
@@ -180,8 +137,7 @@
             state: RefCell::new(state),
             events: RefCell::default(),
             feeding: Cell::new(false),
-            timers: RefCell::default(),
-            sooner: Notify::new(),
+            timers: TimerQueue::default(),
             ready: Cell::new(false),
             pool: Pool::new(config.conn_idle, config.connect_timeout, most_upstream),
             counter: Rc::new(Counter::new(config.counter, call_patience)),
@@ -189,7 +145,7 @@
         if let Some(known) = config.known() {
             event_loop.list(&known, EndpointUpdate::Cached);
         }
-        event_loop.arm(event_loop.clock.now() + SWEEP, TimerKind::Sweep);
+        event_loop.timers.arm(event_loop.clock.now() + SWEEP, TimerKind::IdleCheck);
         event_loop
     }
 
@@ -301,13 +257,13 @@
             Action::IncrementCounter { key: name, add, ttl } => {
                 let now = self.now();
                 match self.counter.call(name, add, ttl, now) {
-                    Ok(call) => self.arm(now + self.call_patience, TimerKind::Call(call)),
+                    Ok(call) => self.timers.arm(now + self.call_patience, TimerKind::CounterCall(call)),
                     Err(outcome) => {
                         self.enqueue(Event::CounterReplied { key: name, outcome, elapsed: 0.0, total: 0.0 })
                     }
                 }
             }
-            Action::Timer { after, token } => self.arm(self.now() + after, TimerKind::Module(token)),
+            Action::Timer { after, token } => self.timers.arm(self.now() + after, TimerKind::Policy(token)),
             // Discovery is pushed and probes are not allowed where this limiter stands.
             Action::WatchEndpoints | Action::HealthCheck(_) => {}
         }
@@ -330,7 +286,7 @@
             let (answer, forward, attempts) = (Some(sender), Rc::new(forward), Vec::new());
             let entry = Entry { answer, forward, client, ends, attempts };
             state.requests.insert(id, entry);
-            self.arm(ends - DEADLINE_MARGIN, TimerKind::Deadline(id));
+            self.timers.arm(ends - DEADLINE_MARGIN, TimerKind::Deadline(id));
             id
         };
         request.id = id;
@@ -409,7 +365,7 @@
         let job = upstream::Job { id, number, server, address, forward, ends };
         let task = tokio::task::spawn_local(upstream::attempt(self.clone(), job)).abort_handle();
         entry.attempts[attempt].task = Some(task);
-        self.arm(ends, TimerKind::Attempt(id, number));
+        self.timers.arm(ends, TimerKind::Attempt(AttemptId { request: id, number }));
     }
 
     /// A server may be sent something new.
@@ -554,42 +510,17 @@
 
     // ---- Timers -------------------------------------------------------------------------------
 
-    fn arm(&self, at: Millis, due: TimerKind) {
-        let at = micros(at);
-        let mut timers = self.timers.borrow_mut();
-        if timers.peek().is_none_or(|Reverse((first, _))| at < *first) {
-            self.sooner.notify_one();
-        }
-        timers.push(Reverse((at, due)));
-    }
-
     async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.timers.borrow().peek().map(|Reverse((at, _))| *at);
-            let Some(next) = next else {
-                self.sooner.notified().await;
-                continue;
-            };
-            if next > micros(self.now()) {
-                let until = self.clock.instant(next as Millis / 1000.0);
-                let sleep = tokio::time::sleep_until(until.into());
-                tokio::select! {
-                    () = sleep => {}
-                    () = self.sooner.notified() => {}
-                }
-                continue;
-            }
-            let popped = self.timers.borrow_mut().pop();
-            if let Some(Reverse((_, due))) = popped {
-                self.timer_fired(due);
-            }
+            let kind = self.timers.next(&self.clock).await;
+            self.timer_fired(kind);
         }
     }
 
-    fn timer_fired(self: &Rc<Self>, due: TimerKind) {
-        match due {
-            TimerKind::Module(name) => self.dispatch(Event::Timer(name)),
-            TimerKind::Attempt(id, attempt) => {
+    fn timer_fired(self: &Rc<Self>, kind: TimerKind) {
+        match kind {
+            TimerKind::Policy(name) => self.dispatch(Event::Timer(name)),
+            TimerKind::Attempt(AttemptId { request: id, number: attempt }) => {
                 let overdue = {
                     let state = self.state.borrow();
                     let entry = state.requests.get(&id);
@@ -602,7 +533,7 @@
                 }
             }
             TimerKind::Deadline(id) => self.enforce_deadline(id),
-            TimerKind::Call(call) => {
+            TimerKind::CounterCall(call) => {
                 if let Some((name, elapsed)) = self.counter.settle(call, self.now()) {
                     self.dispatch(Event::CounterReplied {
                         key: name,
@@ -612,10 +543,10 @@
                     });
                 }
             }
-            TimerKind::Sweep => {
+            TimerKind::IdleCheck => {
                 self.pool.sweep(self.now());
                 self.counter.sweep(self.now());
-                self.arm(self.now() + SWEEP, TimerKind::Sweep);
+                self.timers.arm(self.now() + SWEEP, TimerKind::IdleCheck);
             }
         }
     }
--- a/src/net/event_sink.rs
+++ b/src/net/event_sink.rs
@@ -3,11 +3,11 @@
 use crate::event::Event;
 use crate::ids::Millis;
 
-/// Takes in events for the decisions of the gateway.
+/// Receives events for the policy.
 pub trait EventSink {
-    /// The time that decisions are made by, Unix ms.
+    /// The time that decisions are made by; Unix time, ms.
     fn now(&self) -> Millis;
 
-    /// Hands on an event and executes what it leads to.
+    /// Passes an event to the policy and executes the actions that follow.
     fn dispatch(&self, event: Event);
 }
--- /dev/null
+++ b/src/net/timer_queue.rs
@@ -0,0 +1,101 @@
+//! Timers of the event loop, in the order in which they are due.
+
+use super::clock::Clock;
+use crate::ids::{Millis, RequestId};
+use std::cell::RefCell;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use tokio::sync::Notify;
+
+/// What is to be done when a timer fires. Timers due at the same microsecond fire in the order of the variants.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum TimerKind {
+    /// A timer that the policy asked for; the token goes back to it.
+    Policy(u64),
+    /// The time-out of an attempt.
+    Attempt(AttemptId),
+    /// The deadline of a request.
+    Deadline(RequestId),
+    /// The time-out of a call to the counter service, by the call's number.
+    CounterCall(u64),
+    /// The periodic check of idle connections.
+    IdleCheck,
+}
+
+/// One attempt of one request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// Number of the attempt, from 0.
+    pub number: u8,
+}
+
+/// Unix time in whole microseconds: unlike [`Millis`] it has a total order.
+type Micros = u64;
+
+fn to_micros(at: Millis) -> Micros {
+    (at * 1000.0).max(0.0) as Micros
+}
+
+fn to_millis(at: Micros) -> Millis {
+    at as Millis / 1000.0
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    due: Micros,
+    kind: TimerKind,
+}
+
+/// Armed timers. A timer is never disarmed: whoever handles it checks whether it still matters.
+#[derive(Default)]
+pub struct TimerQueue {
+    timers: RefCell<BinaryHeap<Reverse<Timer>>>,
+    /// Wakes [`next`](TimerQueue::next) when a timer is due before the one it sleeps for.
+    earlier_timer: Notify,
+}
+
+impl TimerQueue {
+    /// Arms a timer for Unix time `at`, ms.
+    pub fn arm(&self, at: Millis, kind: TimerKind) {
+        let due = to_micros(at);
+        if self.next_due().is_none_or(|next| due < next) {
+            self.earlier_timer.notify_one();
+        }
+        self.timers.borrow_mut().push(Reverse(Timer { due, kind }));
+    }
+
+    /// Waits for the next timer that is due and removes it. For one caller at a time.
+    pub async fn next(&self, clock: &Clock) -> TimerKind {
+        loop {
+            match self.next_due() {
+                None => self.earlier_timer.notified().await,
+                Some(due) if due > to_micros(clock.now()) => {
+                    let due = clock.instant_at(to_millis(due));
+                    tokio::select! {
+                        () = tokio::time::sleep_until(due.into()) => {}
+                        () = self.earlier_timer.notified() => {}
+                    }
+                }
+                Some(_) => {
+                    if let Some(kind) = self.pop() {
+                        return kind;
+                    }
+                }
+            }
+        }
+    }
+
+    fn next_due(&self) -> Option<Micros> {
+        self.timers.borrow().peek().map(|Reverse(timer)| timer.due)
+    }
+
+    fn pop(&self) -> Option<TimerKind> {
+        self.timers.borrow_mut().pop().map(|Reverse(timer)| timer.kind)
+    }
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/timer_queue.rs"]
+mod tests;
--- a/tests/unit/tasks.rs
+++ b/tests/unit/tasks.rs
@@ -1,25 +1,26 @@
-//! Tasks that the limiter needs for its whole life.
+//! Tasks that the gateway needs for its whole life.
 
 use super::*;
 use std::cell::Cell;
 use std::rc::Rc;
+use tokio::sync::Notify;
 
 #[test]
 fn a_task_that_panics_is_started_anew() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let starts = Rc::new(Cell::new(0));
-    let (counted, ends) = (starts.clone(), Rc::new(tokio::sync::Notify::new()));
-    let told = ends.clone();
+    let finished = Rc::new(Notify::new());
+    let (task_starts, task_finished) = (starts.clone(), finished.clone());
     tokio::task::LocalSet::new().block_on(&runtime, async move {
         keep_running("test", move || {
-            let (counted, told) = (counted.clone(), told.clone());
+            let (starts, finished) = (task_starts.clone(), task_finished.clone());
             async move {
-                counted.set(counted.get() + 1);
-                assert!(counted.get() > 2, "panics twice on purpose");
-                told.notify_one();
+                starts.set(starts.get() + 1);
+                assert!(starts.get() > 2, "panics twice on purpose");
+                finished.notify_one();
             }
         });
-        ends.notified().await;
+        finished.notified().await;
     });
     assert_eq!(starts.get(), 3);
 }
--- /dev/null
+++ b/tests/unit/timer_queue.rs
@@ -0,0 +1,39 @@
+//! The order in which timers fire.
+
+use super::*;
+use std::rc::Rc;
+
+#[tokio::test]
+async fn timers_fire_by_due_time_and_by_kind_at_the_same_time() {
+    let clock = Clock::start();
+    let timers = TimerQueue::default();
+    let now = clock.now();
+    timers.arm(now - 1.0, TimerKind::IdleCheck);
+    timers.arm(now - 1.0, TimerKind::Deadline(RequestId(2)));
+    timers.arm(now - 1.0, TimerKind::Policy(7));
+    timers.arm(now - 2.0, TimerKind::CounterCall(3));
+    let mut fired = Vec::new();
+    for _ in 0..4 {
+        fired.push(timers.next(&clock).await);
+    }
+    let expected = [
+        TimerKind::CounterCall(3),
+        TimerKind::Policy(7),
+        TimerKind::Deadline(RequestId(2)),
+        TimerKind::IdleCheck,
+    ];
+    assert_eq!(fired, expected);
+}
+
+#[tokio::test]
+async fn an_earlier_timer_wakes_the_wait_for_a_later_one() {
+    let clock = Clock::start();
+    let timers = Rc::new(TimerQueue::default());
+    timers.arm(clock.now() + 60_000.0, TimerKind::IdleCheck);
+    let arm_earlier = async {
+        tokio::task::yield_now().await;
+        timers.arm(clock.now() + 1.0, TimerKind::Policy(1));
+    };
+    let (fired, ()) = tokio::join!(timers.next(&clock), arm_earlier);
+    assert_eq!(fired, TimerKind::Policy(1));
+}
