--- a/src/net/timer_queue.rs
+++ b/src/net/timer_queue.rs
@@ -1,6 +1,7 @@
 //! Timers of the event loop, in the order in which they are due.
 
 use super::clock::Clock;
+use super::request_table::AttemptId;
 use crate::ids::{Millis, RequestId};
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -22,15 +23,6 @@
     IdleCheck,
 }
 
-/// One attempt of one request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptId {
-    /// The request.
-    pub request: RequestId,
-    /// Number of the attempt, from 0.
-    pub number: u8,
-}
-
 /// Unix time in whole microseconds: unlike [`Millis`] it has a total order.
 type Micros = u64;
 
