--- a/src/main.rs
+++ b/src/main.rs
@@ -27,7 +27,7 @@
 
 fn main() -> ExitCode {
     logging::init();
-    match run() {
+    match serve_until_shutdown() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::error!("gateway failed: {error}");
@@ -36,7 +36,7 @@
     }
 }
 
-fn run() -> Result<(), ProcessError> {
+fn serve_until_shutdown() -> Result<(), ProcessError> {
     let config_path = std::env::var(CONFIG_VARIABLE).unwrap_or_else(|_| DEFAULT_CONFIG_PATH.to_owned());
     let config = Config::load(&config_path)?;
     let runtime =
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! Addresses and states of the servers, as told by discovery.
+//! Addresses and states of the servers, as discovery reports them.
 
 use super::discovery::{Member, ServerList};
 use crate::event::{Endpoint, EndpointState, EndpointUpdate};
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -270,7 +270,7 @@
     /// Tells the policy that a request needs no decision any more.
     fn withdraw(self: &Rc<Self>, id: RequestId) {
         self.dispatch(Event::ClientDisconnected(id));
-        self.requests.borrow_mut().remove_if_settled(id);
+        self.requests.borrow_mut().remove_if_finished(id);
     }
 
     /// Guards against a policy that leaves a request without an answer: the client would wait until its own deadline
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -26,14 +26,15 @@
                 elapsed: 0.0,
             });
         };
+        // The end of an attempt without a number cannot be reported; its request is answered at its deadline.
         let Some(number) = request.start_attempt(server, now) else { return };
         let attempt = AttemptId { request: id, number };
         match self.prepare_attempt(request, attempt, server, timeout, now) {
             Ok(job) => {
-                let ends = job.ends;
+                let timeout_at = job.ends;
                 let task = tokio::task::spawn_local(upstream::attempt(self.clone(), job));
                 request.set_task(number, task.abort_handle());
-                self.timers.arm(ends, TimerKind::Attempt(attempt));
+                self.timers.arm(timeout_at, TimerKind::Attempt(attempt));
             }
             Err(outcome) => {
                 drop(requests);
@@ -112,7 +113,7 @@
     pub(super) fn finish_attempt(self: &Rc<Self>, attempt: AttemptId, outcome: Outcome) {
         self.end_attempt(attempt, outcome);
         self.run_until_idle();
-        self.requests.borrow_mut().remove_if_settled(attempt.request);
+        self.requests.borrow_mut().remove_if_finished(attempt.request);
     }
 
     /// Ends an attempt and enqueues its end for the policy.
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -72,12 +72,12 @@
         (request, answer)
     }
 
-    /// Whether no answer is owed any more.
+    /// Whether it needs no answer any more: it was answered, or its client has left.
     pub fn is_complete(&self) -> bool {
         self.responder.is_none()
     }
 
-    /// Records an attempt that starts at `now`; none where its number has no place in an [`AttemptId`].
+    /// Records an attempt that starts at `now`, and returns its number. None if there are too many to be numbered.
     pub fn start_attempt(&mut self, server: ServerId, now: Millis) -> Option<u8> {
         let number = u8::try_from(self.attempts.len()).ok();
         self.attempts.push(Attempt { server, started: now, in_flight: true, task: None });
@@ -91,7 +91,7 @@
         }
     }
 
-    fn is_settled(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.is_complete() && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 }
@@ -137,17 +137,17 @@
             // A client that has just left needs no answer; the end of its connection is an event of its own.
             let _ = responder.send(answer);
         }
-        self.remove_if_settled(id);
+        self.remove_if_finished(id);
     }
 
-    /// Completes a request and hands over where its answer goes; none if it was complete before.
+    /// Completes a request. Returns where its answer goes, or none if it was complete before.
     pub fn complete(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
         self.requests.get_mut(&id)?.responder.take()
     }
 
     /// Removes a request that is complete and has no attempt in flight.
-    pub fn remove_if_settled(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(PendingRequest::is_settled) {
+    pub fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(PendingRequest::is_finished) {
             self.requests.remove(&id);
         }
     }
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Ends an attempt at `now` and aborts its task, which closes its connection. The event for the policy; none if
-    /// the attempt had ended before.
+    /// Ends an attempt at `now` and aborts its task, which closes its connection. Returns the event for the policy, or
+    /// none if the attempt had ended before.
     pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, now: Millis) -> Option<Event> {
         let complete = self.requests.get(&id.request)?.is_complete();
         let attempt = self.attempt_mut(id).filter(|attempt| attempt.in_flight)?;
@@ -182,7 +182,7 @@
             complete,
             elapsed: now - attempt.started,
         };
-        self.remove_if_settled(id.request);
+        self.remove_if_finished(id.request);
         Some(event)
     }
 
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -102,10 +102,10 @@
         );
         clients.stop();
         let schedule = ShutdownSchedule::new(start, self.max_deadline);
-        let mut drained = pin!(shutdown::drain(&event_loop, &clients, schedule));
+        let mut finished = pin!(shutdown::finish_requests(&event_loop, &clients, schedule));
         loop {
             tokio::select! {
-                () = drained.as_mut() => break,
+                () = finished.as_mut() => break,
                 signal = signals.next() => match signal {
                     ControlSignal::Reload => self.reload(),
                     // The shutdown goes on: what was accepted still needs its answer.
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -13,11 +13,11 @@
 const REQUEST_WAIT_MARGIN: Duration = Duration::from_millis(550);
 /// Time for the last responses to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(60);
-/// Between two looks at the open connections.
+/// How often the open connections are counted.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Looks at which no connection is open before the gateway is idle: a connection that waited to be accepted at the
-/// first look has been accepted by the second.
-const IDLE_LOOKS: u32 = 2;
+/// Polls that find no connection open before the gateway is idle: a connection that waited to be accepted at the
+/// first poll has been accepted by the second.
+const IDLE_POLLS: u32 = 2;
 
 /// When the phases of a shutdown end.
 pub struct ShutdownSchedule {
@@ -38,14 +38,19 @@
     }
 }
 
-/// Waits until the gateway is idle, and fails the requests that have no answer when the schedule ends.
-pub async fn drain(event_loop: &Rc<EventLoop>, clients: &ClientListener, schedule: ShutdownSchedule) {
+/// Waits until all requests are answered and all connections closed. Requests without an answer at the end of the
+/// schedule are failed, and requests that arrive later are refused.
+pub async fn finish_requests(
+    event_loop: &Rc<EventLoop>,
+    clients: &ClientListener,
+    schedule: ShutdownSchedule,
+) {
     tokio::time::sleep_until(schedule.close_idle_at.into()).await;
-    let mut idle_looks = 0;
-    while idle_looks < IDLE_LOOKS && Instant::now() < schedule.fail_all_at {
+    let mut idle_polls = 0;
+    while idle_polls < IDLE_POLLS && Instant::now() < schedule.fail_all_at {
         clients.close_idle();
         tokio::time::sleep(POLL_INTERVAL).await;
-        idle_looks = if clients.open() == 0 { idle_looks + 1 } else { 0 };
+        idle_polls = if clients.open() == 0 { idle_polls + 1 } else { 0 };
     }
     clients.refuse_all();
     event_loop.fail_all();
