--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,38 +1,28 @@
-//! The limiter's sockets: one module for each kind of peer round the one [`event_loop`], which turns what
-//! happens on them into events of the decision module and carries out its actions.
+//! The gateway on its sockets.
+//!
+//! - [`event_loop`] turns what happens on the sockets into events of the policy, and executes its actions. It owns the
+//!   [`request_table`], the [`endpoint_registry`], the [`timer_queue`] and the [`clock`].
+//! - [`client`], [`upstream`], [`counter`] and [`discovery`] hold the connections to one kind of peer each, and report
+//!   to the event loop as an [`event_sink`].
+//! - [`serve`] starts all of these; [`signals`], [`shutdown`], [`connection_limits`], [`logging`] and [`supervisor`]
+//!   are about the process.
 
 pub mod client;
+pub mod clock;
+pub mod connection_limits;
 pub mod counter;
 pub mod discovery;
+pub mod endpoint_registry;
 pub mod event_loop;
 pub mod event_sink;
+pub mod logging;
+pub mod request_table;
+pub mod serve;
+pub mod shutdown;
+pub mod signals;
 pub mod socket;
+pub mod supervisor;
+pub mod timer_queue;
 pub mod upstream;
 
-use std::future::Future;
-use std::time::Duration;
-
-/// Pause before a task that has panicked is started anew, so that one that panics at once does not spin.
-const RESTART_PAUSE: Duration = Duration::from_millis(20);
-
-/// Runs a task that the limiter needs for its whole life, and starts it anew should it panic.
-pub fn keep_running<F>(name: &'static str, start: impl Fn() -> F + 'static) -> tokio::task::AbortHandle
-where
-    F: Future<Output = ()> + 'static,
-{
-    let watch = async move {
-        // A set, so that calling off the watch calls off the task as well.
-        let mut task = tokio::task::JoinSet::new();
-        task.spawn_local(start());
-        while let Some(Err(e)) = task.join_next().await {
-            log::error!("{name}: {e}");
-            tokio::time::sleep(RESTART_PAUSE).await;
-            task.spawn_local(start());
-        }
-    };
-    tokio::task::spawn_local(watch).abort_handle()
-}
-
-#[cfg(test)]
-#[path = "../../tests/unit/tasks.rs"]
-mod tests;
+pub use supervisor::keep_running;
