--- a/tests/unit/endpoint_watcher.rs
+++ b/tests/unit/endpoint_watcher.rs
@@ -1,25 +1,33 @@
-//! Every state of the follower, in paused time: how long it takes until what the agent holds is acted on.
+//! Every state of the watcher, in paused time: how long it takes until what the agent holds is acted on.
+//!
+//! The story of them all: a server is about to leave, discovery marks it as draining, and the agent is in trouble at
+//! that moment. Once the agent holds the change and can be reached, the gateway has to act on it in time, whatever
+//! the watcher was waiting for when the trouble began.
 
-use super::*;
+use super::super::json_framer::max_object_bytes;
+use super::super::timing::{CallTiming, OBJECT_TIMEOUT, WATCH_IDLE_TIMEOUT};
+use super::{Connect, EndpointList, EndpointSink, WatcherHandle, WatcherLimits};
 use crate::config::Config;
 use crate::ids::ServerId;
 use crate::net::event_loop::EventLoop;
 use std::cell::{Cell, RefCell};
-use std::future::pending;
+use std::fmt::{Display, Formatter};
+use std::future::{pending, Future};
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
-use tokio::time::sleep;
+use tokio::time::{sleep, Instant};
 
-/// A change counts as told this long after discovery had it and could be reached, and this long after SIGHUP.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_AFTER_HANGUP: Duration = Duration::from_secs(4);
+/// A change counts as notified this long after discovery had it and could be reached, and this long after SIGHUP.
+const NOTIFIED: Duration = Duration::from_secs(6);
+const NOTIFIED_AFTER_HANGUP: Duration = Duration::from_secs(4);
 /// Between two bytes of an agent that trickles, two pieces of one that is slow, two looks of a watch.
 const STEP: Duration = Duration::from_millis(50);
 
 /// What an agent does with a call, and with the watches that are open.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mode {
-    Sound,
+enum AgentMode {
+    Healthy,
     /// Its lists and objects come steadily over almost all the time that one may take.
     Slow,
     HangsAtConnect,
@@ -29,50 +37,50 @@
     HangsInObject,
     TricklesObject,
     /// White space in place of a list.
-    TricklesBlanks,
+    TricklesWhitespace,
     TricklesChunkHead,
     Refuses,
     Closes,
     ClosesBehindHead,
-    TellsNonsense,
-    TellsBadEntries,
+    SendsNonsense,
+    SendsBadEntries,
 }
 
-const BAD: [Mode; 13] = [
-    Mode::HangsAtConnect,
-    Mode::HangsAtHead,
-    Mode::TricklesHead,
-    Mode::HangsInBody,
-    Mode::HangsInObject,
-    Mode::TricklesObject,
-    Mode::TricklesBlanks,
-    Mode::TricklesChunkHead,
-    Mode::Refuses,
-    Mode::Closes,
-    Mode::ClosesBehindHead,
-    Mode::TellsNonsense,
-    Mode::TellsBadEntries,
+const FAULTY: [AgentMode; 13] = [
+    AgentMode::HangsAtConnect,
+    AgentMode::HangsAtHead,
+    AgentMode::TricklesHead,
+    AgentMode::HangsInBody,
+    AgentMode::HangsInObject,
+    AgentMode::TricklesObject,
+    AgentMode::TricklesWhitespace,
+    AgentMode::TricklesChunkHead,
+    AgentMode::Refuses,
+    AgentMode::Closes,
+    AgentMode::ClosesBehindHead,
+    AgentMode::SendsNonsense,
+    AgentMode::SendsBadEntries,
 ];
 
 /// An agent in memory. What it does with a call is settled when the call comes and stays so for that call.
-struct State {
-    mode: Cell<Mode>,
+struct AgentState {
+    mode: Cell<AgentMode>,
     /// What it does with calls for a watch, if that is another thing.
-    watches: Cell<Option<Mode>>,
+    watches: Cell<Option<AgentMode>>,
     revision: Cell<u64>,
-    /// Whole lists that were told, and connections that were asked for.
+    /// Complete lists that were sent, and connections that were opened.
     lists: Cell<u32>,
     calls: Cell<u32>,
 }
 
 #[derive(Clone)]
-struct Agent(Rc<State>);
+struct StubAgent(Rc<AgentState>);
 
-impl Agent {
-    fn new(mode: Mode, revision: u64) -> Self {
+impl StubAgent {
+    fn new(mode: AgentMode, revision: u64) -> Self {
         let (mode, revision) = (Cell::new(mode), Cell::new(revision));
         let (watches, lists, calls) = (Cell::default(), Cell::default(), Cell::default());
-        Agent(Rc::new(State { mode, watches, revision, lists, calls }))
+        StubAgent(Rc::new(AgentState { mode, watches, revision, lists, calls }))
     }
 
     /// Its one server drains from the second version on.
@@ -84,24 +92,24 @@
     }
 }
 
-impl Display for Agent {
+impl Display for StubAgent {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         f.write_str("agent")
     }
 }
 
-impl PartialEq for Agent {
+impl PartialEq for StubAgent {
     fn eq(&self, other: &Self) -> bool {
         Rc::ptr_eq(&self.0, &other.0)
     }
 }
 
-impl Connect for Agent {
+impl Connect for StubAgent {
     type Stream = DuplexStream;
 
     async fn connect(&self) -> std::io::Result<DuplexStream> {
         self.0.calls.set(self.0.calls.get() + 1);
-        if self.0.mode.get() == Mode::HangsAtConnect {
+        if self.0.mode.get() == AgentMode::HangsAtConnect {
             pending::<()>().await;
         }
         let (here, there) = duplex(1 << 16);
@@ -126,11 +134,11 @@
     }
 }
 
-async fn tell(io: &mut DuplexStream, object: &str, slow: bool) -> std::io::Result<()> {
+async fn send_object(io: &mut DuplexStream, object: &str, slow: bool) -> std::io::Result<()> {
     if !slow {
         return chunk(io, object).await;
     }
-    let steps = (OBJECT_TIME.as_millis() / STEP.as_millis()) as usize - 1;
+    let steps = (OBJECT_TIMEOUT.as_millis() / STEP.as_millis()) as usize - 1;
     for piece in object.as_bytes().chunks(object.len().div_ceil(steps)) {
         sleep(STEP).await;
         chunk(io, std::str::from_utf8(piece).expect("plain text")).await?;
@@ -138,7 +146,7 @@
     Ok(())
 }
 
-async fn serve(mut io: DuplexStream, agent: Agent) -> std::io::Result<()> {
+async fn serve(mut io: DuplexStream, agent: StubAgent) -> std::io::Result<()> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(io.read_u8().await?);
@@ -148,61 +156,61 @@
     let since: Option<u64> = since.map(|since| since.parse().expect("a number"));
     let mode = agent.0.watches.get().filter(|_| since.is_some()).unwrap_or(agent.0.mode.get());
     match mode {
-        Mode::HangsAtConnect | Mode::HangsAtHead => return pending().await,
-        Mode::Closes => return Ok(()),
-        Mode::TricklesHead => {
+        AgentMode::HangsAtConnect | AgentMode::HangsAtHead => return pending().await,
+        AgentMode::Closes => return Ok(()),
+        AgentMode::TricklesHead => {
             io.write_all(b"HTTP/1.1 200 OK\r\nX-Long: ").await?;
             return trickle(&mut io, "x").await;
         }
-        Mode::Refuses => return io.write_all(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n").await,
+        AgentMode::Refuses => return io.write_all(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n").await,
         _ => {}
     }
     io.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-    if mode != Mode::Sound && mode != Mode::Slow {
-        return spoil(&mut io, mode, since.is_none()).await;
+    if mode != AgentMode::Healthy && mode != AgentMode::Slow {
+        return misbehave(&mut io, mode, since.is_none()).await;
     }
-    let slow = mode == Mode::Slow;
-    let Some(mut told) = since else {
+    let slow = mode == AgentMode::Slow;
+    let Some(mut sent) = since else {
         agent.0.lists.set(agent.0.lists.get() + 1);
-        tell(&mut io, &agent.object(true), slow).await?;
+        send_object(&mut io, &agent.object(true), slow).await?;
         return io.write_all(b"0\r\n\r\n").await;
     };
-    let mut quiet = Instant::now();
+    let mut idle_since = Instant::now();
     chunk(&mut io, "\r\n").await?;
     loop {
         let now = agent.0.mode.get();
         if now != mode {
-            return spoil(&mut io, now, false).await;
+            return misbehave(&mut io, now, false).await;
         }
-        if agent.0.revision.get() > told {
-            tell(&mut io, &agent.object(false), slow).await?;
-            told = agent.0.revision.get();
-        } else if quiet.elapsed() >= Duration::from_secs(2) {
+        if agent.0.revision.get() > sent {
+            send_object(&mut io, &agent.object(false), slow).await?;
+            sent = agent.0.revision.get();
+        } else if idle_since.elapsed() >= Duration::from_secs(2) {
             chunk(&mut io, "\r\n").await?;
-            quiet = Instant::now();
+            idle_since = Instant::now();
         }
         sleep(STEP).await;
     }
 }
 
-/// What comes behind the head of an answer, or on a watch that was sound so far.
-async fn spoil(io: &mut DuplexStream, mode: Mode, whole: bool) -> std::io::Result<()> {
+/// What comes behind the head of an answer, or on a watch that was healthy so far.
+async fn misbehave(io: &mut DuplexStream, mode: AgentMode, complete: bool) -> std::io::Result<()> {
     match mode {
-        Mode::Refuses | Mode::Closes | Mode::ClosesBehindHead => return Ok(()),
-        Mode::HangsInObject => chunk(io, r#"{"revision":2,"mem"#).await?,
-        Mode::TricklesObject => {
+        AgentMode::Refuses | AgentMode::Closes | AgentMode::ClosesBehindHead => return Ok(()),
+        AgentMode::HangsInObject => chunk(io, r#"{"revision":2,"mem"#).await?,
+        AgentMode::TricklesObject => {
             chunk(io, r#"{"revision":2,"members":[{"id":""#).await?;
             return trickle(io, "1\r\na\r\n").await;
         }
         // On a watch white space is no fault.
-        Mode::TricklesBlanks if whole => return trickle(io, "1\r\n\n\r\n").await,
-        Mode::TricklesChunkHead => {
+        AgentMode::TricklesWhitespace if complete => return trickle(io, "1\r\n\n\r\n").await,
+        AgentMode::TricklesChunkHead => {
             io.write_all(b"7;").await?;
             return trickle(io, "x").await;
         }
-        Mode::TellsNonsense => chunk(io, "{\"revision\": oops\n").await?,
-        Mode::TellsBadEntries => {
-            let object = format!(r#"{{"revision":1,"complete":{whole},"members":[{{"id":7}}]}}"#);
+        AgentMode::SendsNonsense => chunk(io, "{\"revision\": oops\n").await?,
+        AgentMode::SendsBadEntries => {
+            let object = format!(r#"{{"revision":1,"complete":{complete},"members":[{{"id":7}}]}}"#);
             chunk(io, &(object + "\n")).await?;
         }
         _ => {}
@@ -216,104 +224,104 @@
         "group":"all","repeat_window":25000,"late_value":0}],
     "plans":[{"name":"team","rate":100,"store_size":100}]}}"#;
 
-/// The driver, and when it was told of the drain.
+/// The event loop, and when it was notified of the drain.
 #[derive(Clone)]
-struct Told {
+struct RecordingSink {
     event_loop: Rc<EventLoop>,
     drained: Rc<RefCell<Option<Instant>>>,
 }
 
-impl Learn for Told {
-    fn learn(&self, list: &ServerList<'_>) -> bool {
-        let whole = self.event_loop.servers_changed(list);
+impl EndpointSink for RecordingSink {
+    fn learn(&self, list: &EndpointList<'_>) -> bool {
+        let decoded = self.event_loop.servers_changed(list);
         if list.revision >= 2 {
             // From here on nothing new goes to it, whatever is under way.
             assert!(!self.event_loop.may_send(ServerId(1)));
             self.drained.borrow_mut().get_or_insert(Instant::now());
         }
-        whole
+        decoded
     }
 }
 
-/// Runs in paused time, with the driver as it is told.
-fn paused<F: Future<Output = T>, T>(run: impl FnOnce(Told, Bounds) -> F) -> T {
+/// Runs in paused time, with the event loop as the sink.
+fn in_paused_time<F: Future<Output = T>, T>(run: impl FnOnce(RecordingSink, WatcherLimits) -> F) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let config = Config::parse(CONFIG).expect("a configuration");
     let event_loop = EventLoop::new(&config, 16);
-    let bounds = Bounds { drain_grace: event_loop.drain_grace(), most_bytes: most_bytes(192.0) };
-    let told = Told { event_loop, drained: Rc::default() };
-    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), run(told, bounds))
+    let limits = WatcherLimits { drain_grace: event_loop.drain_grace(), most_bytes: max_object_bytes(192.0) };
+    let sink = RecordingSink { event_loop, drained: Rc::default() };
+    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), run(sink, limits))
 }
 
 /// How long it takes from now until the drain is acted on.
-async fn until_drained(told: &Told) -> Duration {
+async fn until_drained(sink: &RecordingSink) -> Duration {
     let start = Instant::now();
-    while told.drained.borrow().is_none() && start.elapsed() < 2 * TOLD {
+    while sink.drained.borrow().is_none() && start.elapsed() < 2 * NOTIFIED {
         sleep(Duration::from_millis(5)).await;
     }
     start.elapsed()
 }
 
-/// What the follower is at when the agent turns bad.
+/// What the watcher is doing when the agent turns faulty.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
     /// It has no list, and asks for one.
     Start,
     /// It has a list, and asks for a watch.
     Known,
-    /// It has a watch, which turns bad as well.
+    /// It has a watch, which turns faulty as well.
     Watching,
 }
 
 const STAGES: [Stage; 3] = [Stage::Start, Stage::Known, Stage::Watching];
 
-/// Brings a follower to a stage, lets the agent be bad for a time, and gives back what is left to be done.
-async fn bring(
-    told: &Told,
-    bounds: Bounds,
+/// Brings a watcher to a stage, and lets the agent be faulty for a time.
+async fn start_in_stage(
+    sink: &RecordingSink,
+    limits: WatcherLimits,
     stage: Stage,
-    mode: Mode,
-    bad_for: Duration,
-) -> (Following<Agent>, Agent) {
-    let agent = Agent::new(mode, 1);
+    mode: AgentMode,
+    faulty_for: Duration,
+) -> (WatcherHandle<StubAgent>, StubAgent) {
+    let agent = StubAgent::new(mode, 1);
     let known = if matches!(stage, Stage::Start) { None } else { Some(1) };
     if matches!(stage, Stage::Watching) {
-        agent.0.mode.set(Mode::Sound);
+        agent.0.mode.set(AgentMode::Healthy);
     }
-    let following = Following::start(told, agent.clone(), known, bounds);
+    let watcher = WatcherHandle::start(sink, agent.clone(), known, limits);
     if matches!(stage, Stage::Watching) {
         // Just behind an empty line, from where silence lasts longest until it is met.
         sleep(Duration::from_millis(2110)).await;
         agent.0.mode.set(mode);
     }
-    sleep(bad_for).await;
-    (following, agent)
+    sleep(faulty_for).await;
+    (watcher, agent)
 }
 
 /// Moments over the cycle of any state, and well into its longest pause.
-fn moments() -> impl Iterator<Item = Duration> {
+fn fault_durations() -> impl Iterator<Item = Duration> {
     (0..90).map(|i| Duration::from_millis(i * 97))
 }
 
 #[test]
 fn what_the_agent_holds_is_acted_on_in_time_from_every_state() {
-    for back in [Mode::Sound, Mode::Slow] {
+    for back in [AgentMode::Healthy, AgentMode::Slow] {
         for stage in STAGES {
-            for mode in BAD {
-                let longest = moments().map(|bad_for| {
-                    paused(|told, bounds| async move {
-                        let (_following, agent) = bring(&told, bounds, stage, mode, bad_for).await;
+            for mode in FAULTY {
+                let longest = fault_durations().map(|faulty_for| {
+                    in_paused_time(|sink, limits| async move {
+                        let (_watcher, agent) = start_in_stage(&sink, limits, stage, mode, faulty_for).await;
                         agent.0.mode.set(back);
                         agent.0.revision.set(2);
-                        until_drained(&told).await
+                        until_drained(&sink).await
                     })
                 });
-                let longest = longest.max().expect("moments");
+                let longest = longest.max().expect("durations");
                 println!("{stage:?}, {mode:?}, then {back:?}: acted on after {} ms", longest.as_millis());
-                assert!(longest < TOLD, "{stage:?}, {mode:?}, then {back:?}: {longest:?}");
+                assert!(longest < NOTIFIED, "{stage:?}, {mode:?}, then {back:?}: {longest:?}");
                 // A SIGHUP that leaves the agent as it is changes nothing in this.
                 assert!(
-                    back == Mode::Slow || longest < TOLD_AFTER_HANGUP,
+                    back == AgentMode::Slow || longest < NOTIFIED_AFTER_HANGUP,
                     "{stage:?}, {mode:?}: {longest:?}"
                 );
             }
@@ -324,16 +332,16 @@
 #[test]
 fn a_call_that_was_out_when_a_silent_agent_came_back_costs_less_than_the_grace() {
     for stage in STAGES {
-        for mode in [Mode::HangsAtConnect, Mode::HangsAtHead] {
+        for mode in [AgentMode::HangsAtConnect, AgentMode::HangsAtHead] {
             // The watch that falls silent with the agent has been given up by then.
-            for bad_for in moments().map(|moment| moment + SILENCE) {
-                let (elapsed, grace) = paused(|told, bounds| async move {
-                    let (_following, agent) = bring(&told, bounds, stage, mode, bad_for).await;
-                    agent.0.mode.set(Mode::Sound);
+            for faulty_for in fault_durations().map(|duration| duration + WATCH_IDLE_TIMEOUT) {
+                let (elapsed, grace) = in_paused_time(|sink, limits| async move {
+                    let (_watcher, agent) = start_in_stage(&sink, limits, stage, mode, faulty_for).await;
+                    agent.0.mode.set(AgentMode::Healthy);
                     agent.0.revision.set(2);
-                    (until_drained(&told).await, bounds.drain_grace)
+                    (until_drained(&sink).await, limits.drain_grace)
                 });
-                assert!(elapsed < grace, "{stage:?}, {mode:?} for {bad_for:?}: {elapsed:?}");
+                assert!(elapsed < grace, "{stage:?}, {mode:?} for {faulty_for:?}: {elapsed:?}");
             }
         }
     }
@@ -341,79 +349,90 @@
 
 #[test]
 fn a_new_agent_is_heard_in_time_after_sighup_in_every_state() {
-    for back in [Mode::Sound, Mode::Slow] {
+    for back in [AgentMode::Healthy, AgentMode::Slow] {
         let mut longest = Duration::ZERO;
         for stage in STAGES {
-            for mode in BAD {
-                for bad_for in moments().step_by(6) {
-                    let elapsed = paused(|told, bounds| async move {
-                        let (mut following, _agent) = bring(&told, bounds, stage, mode, bad_for).await;
-                        following.move_to(&told, Agent::new(back, 2));
-                        until_drained(&told).await
+            for mode in FAULTY {
+                for faulty_for in fault_durations().step_by(6) {
+                    let elapsed = in_paused_time(|sink, limits| async move {
+                        let (mut watcher, _agent) =
+                            start_in_stage(&sink, limits, stage, mode, faulty_for).await;
+                        watcher.move_to(&sink, StubAgent::new(back, 2));
+                        until_drained(&sink).await
                     });
-                    assert!(elapsed < TOLD_AFTER_HANGUP, "{stage:?}, {mode:?} for {bad_for:?}: {elapsed:?}");
+                    assert!(
+                        elapsed < NOTIFIED_AFTER_HANGUP,
+                        "{stage:?}, {mode:?} for {faulty_for:?}: {elapsed:?}"
+                    );
                     longest = longest.max(elapsed);
                 }
             }
         }
         println!("SIGHUP to an agent that is {back:?}: acted on after {} ms", longest.as_millis());
     }
-    // The new agent is bad first, and so is the old one from then on.
-    for mode in BAD {
-        let longest = moments().step_by(3).map(|bad_for| {
-            paused(|told, bounds| async move {
-                let (mut following, _) = bring(&told, bounds, Stage::Watching, Mode::HangsAtHead, STEP).await;
-                let agent = Agent::new(mode, 2);
-                following.move_to(&told, agent.clone());
-                sleep(bad_for).await;
-                agent.0.mode.set(Mode::Sound);
-                until_drained(&told).await
+    // The new agent is faulty first, and so is the old one from then on.
+    for mode in FAULTY {
+        let longest = fault_durations().step_by(3).map(|faulty_for| {
+            in_paused_time(|sink, limits| async move {
+                let (mut watcher, _) =
+                    start_in_stage(&sink, limits, Stage::Watching, AgentMode::HangsAtHead, STEP).await;
+                let agent = StubAgent::new(mode, 2);
+                watcher.move_to(&sink, agent.clone());
+                sleep(faulty_for).await;
+                agent.0.mode.set(AgentMode::Healthy);
+                until_drained(&sink).await
             })
         });
-        let longest = longest.max().expect("moments");
+        let longest = longest.max().expect("durations");
         println!("SIGHUP to an agent that is {mode:?} first: acted on after {} ms", longest.as_millis());
-        assert!(longest < TOLD_AFTER_HANGUP, "{mode:?}: {longest:?}");
+        assert!(longest < NOTIFIED_AFTER_HANGUP, "{mode:?}: {longest:?}");
     }
 }
 
 #[test]
-fn what_no_watch_tells_comes_by_the_whole_list() {
-    // Its calls for a watch go on failing; only its list tells.
-    for mode in [Mode::HangsInBody, Mode::Refuses, Mode::ClosesBehindHead, Mode::TricklesChunkHead] {
-        let longest = moments().step_by(3).map(|bad_for| {
-            paused(|told, bounds| async move {
-                let agent = Agent::new(Mode::Sound, 1);
+fn what_no_watch_sends_comes_by_a_complete_list() {
+    // Its calls for a watch go on failing; only its list has the change.
+    for mode in [
+        AgentMode::HangsInBody,
+        AgentMode::Refuses,
+        AgentMode::ClosesBehindHead,
+        AgentMode::TricklesChunkHead,
+    ] {
+        let longest = fault_durations().step_by(3).map(|faulty_for| {
+            in_paused_time(|sink, limits| async move {
+                let agent = StubAgent::new(AgentMode::Healthy, 1);
                 agent.0.watches.set(Some(mode));
-                let _following = Following::start(&told, agent.clone(), Some(1), bounds);
-                sleep(bad_for).await;
+                let _watcher = WatcherHandle::start(&sink, agent.clone(), Some(1), limits);
+                sleep(faulty_for).await;
                 agent.0.revision.set(2);
-                until_drained(&told).await
+                until_drained(&sink).await
             })
         });
-        let longest = longest.max().expect("moments");
+        let longest = longest.max().expect("durations");
         println!("watches that are {mode:?} for ever: acted on after {} ms", longest.as_millis());
-        assert!(longest < TOLD, "{mode:?}: {longest:?}");
-        let lists = paused(|told, bounds| async move {
-            let agent = Agent::new(Mode::Sound, 1);
+        assert!(longest < NOTIFIED, "{mode:?}: {longest:?}");
+        let lists = in_paused_time(|sink, limits| async move {
+            let agent = StubAgent::new(AgentMode::Healthy, 1);
             agent.0.watches.set(Some(mode));
-            let _following = Following::start(&told, agent.clone(), Some(1), bounds);
-            sleep(10 * TOLD).await;
+            let _watcher = WatcherHandle::start(&sink, agent.clone(), Some(1), limits);
+            sleep(10 * NOTIFIED).await;
             agent.0.lists.get()
         });
-        assert!(lists <= 20, "{mode:?}: {lists} whole lists in a minute");
+        assert!(lists <= 20, "{mode:?}: {lists} complete lists in a minute");
     }
-    // A sound watch that was reset now and then is no cause for one, and neither is an agent that was down.
-    paused(|told, bounds| async move {
-        let agent = Agent::new(Mode::Sound, 1);
-        let _following = Following::start(&told, agent.clone(), Some(1), bounds);
-        for mode in [Mode::Closes, Mode::HangsAtHead, Mode::HangsAtConnect, Mode::Closes] {
+    // A healthy watch that was reset now and then is no cause for one, and neither is an agent that was down.
+    in_paused_time(|sink, limits| async move {
+        let agent = StubAgent::new(AgentMode::Healthy, 1);
+        let _watcher = WatcherHandle::start(&sink, agent.clone(), Some(1), limits);
+        for mode in [AgentMode::Closes, AgentMode::HangsAtHead, AgentMode::HangsAtConnect, AgentMode::Closes]
+        {
             sleep(Duration::from_secs(3)).await;
             agent.0.mode.set(mode);
             sleep(Duration::from_secs(3)).await;
-            agent.0.mode.set(Mode::Sound);
+            agent.0.mode.set(AgentMode::Healthy);
         }
         agent.0.revision.set(2);
-        until_drained(&told).await;
+        until_drained(&sink).await;
         assert_eq!(agent.0.lists.get(), 0);
     });
 }
@@ -421,18 +440,19 @@
 #[test]
 fn an_agent_that_stays_bad_is_neither_asked_without_a_pause_nor_forgotten_with_a_long_grace() {
     for grace in [1000, 20_000].map(Duration::from_millis) {
-        for mode in [Mode::Closes, Mode::Refuses, Mode::HangsAtHead] {
-            for bad_for in moments().step_by(6).map(|moment| 10 * TOLD + moment) {
-                let (elapsed, calls) = paused(|told, bounds| async move {
-                    let bounds = Bounds { drain_grace: grace, ..bounds };
-                    let (_following, agent) = bring(&told, bounds, Stage::Known, mode, bad_for).await;
+        for mode in [AgentMode::Closes, AgentMode::Refuses, AgentMode::HangsAtHead] {
+            for faulty_for in fault_durations().step_by(6).map(|duration| 10 * NOTIFIED + duration) {
+                let (elapsed, calls) = in_paused_time(|sink, limits| async move {
+                    let limits = WatcherLimits { drain_grace: grace, ..limits };
+                    let (_watcher, agent) =
+                        start_in_stage(&sink, limits, Stage::Known, mode, faulty_for).await;
                     let calls = agent.0.calls.get();
-                    agent.0.mode.set(Mode::Sound);
+                    agent.0.mode.set(AgentMode::Healthy);
                     agent.0.revision.set(2);
-                    (until_drained(&told).await, calls)
+                    (until_drained(&sink).await, calls)
                 });
                 assert!(elapsed < Duration::from_secs(2), "grace {grace:?}, {mode:?}: {elapsed:?}");
-                let most = bad_for.as_millis() / CallTiming::within(grace).longest_pause.as_millis() + 10;
+                let most = faulty_for.as_millis() / CallTiming::within(grace).max_backoff.as_millis() + 10;
                 assert!(u128::from(calls) <= most, "grace {grace:?}, {mode:?}: {calls} calls");
             }
         }
