--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,17 @@
 //! Reads the settings of a gateway: [`Config`] from the file that `PROXY_CONFIG` names, and [`parse_settings`] from
 //! the text that the simulator hands to an instance.
+//!
+//! Both forms become values under dotted paths (`key_values`), from which `settings_reader` fills the one
+//! [`Settings`](crate::settings::Settings). The keys of the deployment's pages occur there and in `file` only.
 
+mod error;
 mod file;
-mod settings_text;
+mod key_values;
+mod settings_reader;
 
-pub use crate::simulator::WireError;
-pub use file::{Config, ConfigError, Limits, Names};
-pub use settings_text::parse_settings;
+pub use error::{ConfigError, SettingsError};
+pub use file::{Config, Limits, Names};
+pub use settings_reader::parse_settings;
+
+// Earlier name, until the other modules use the new one.
+pub use error::SettingsError as WireError;
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -98,7 +98,10 @@
         if code == 1040 {
             let text = tail.slice(r.u32(14)?, r.u32(18)?, 1)?;
             let text = std::str::from_utf8(text).map_err(|_| WireError("settings: not UTF-8".into()))?;
-            self.gateways.insert(who, Gateway::new(parse_settings(text)?, r.u64(6)?));
+            self.gateways.insert(
+                who,
+                Gateway::new(parse_settings(text).map_err(|e| WireError(e.to_string()))?, r.u64(6)?),
+            );
             return Ok(());
         }
         if code == 1020 {
