--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,4 +1,5 @@
-//! Serves the decision module on the bench's wire: frames on standard input, replies on standard output.
+//! Runs gateways for the simulator: frames come on standard input, replies go to standard output. Ends with the input;
+//! input that does not hold to the protocol ends it with an error.
 
 use rate_limiting_gateway::simulator::Host;
 use std::io::{stdin, stdout, BufWriter};
@@ -7,8 +8,8 @@
 fn main() -> ExitCode {
     match Host::default().run(stdin().lock(), BufWriter::new(stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("simulator-adapter: {e}");
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
