--- a/tests/action_stream.rs
+++ b/tests/action_stream.rs
@@ -2,9 +2,10 @@
 //!
 //! A rewrite that is meant to change no decision has to leave every byte of these replies as it was: the actions,
 //! their order, and with them the order of random draws. Each scenario is a small closed world (servers, a list, a
-//! counter and clients) around two or three limiters. A hash that has changed on purpose is recorded anew in the
+//! counter and clients) around two or three gateways. A hash that has changed on purpose is recorded anew in the
 //! commit that changes it, which says why.
 
+#[allow(dead_code)] // each file of tests uses its own part
 #[path = "support/frames.rs"]
 mod frames;
 #[path = "support/action_world.rs"]
@@ -12,7 +13,7 @@
 
 use world::{Scenario, World};
 
-/// Two zones, all kinds of idempotency, tenants seen often enough to be counted in batches.
+/// Two zones, all kinds of idempotency, tenants with traffic enough for batched counting.
 const BATCHED: &str = "balancers=2\nzone=0\nareas=a,b\n\
     classes.count=4\n\
     classes.0.deadline=1500.0\nclasses.0.goal_time=500.0\nclasses.0.idempotency=free\n\
@@ -32,7 +33,7 @@
     family_info.max_units=2\nsafety.start_capacity=0.2\nsafety.warm_after=4000.0\nsafety.overload_factor=2.0\n\
     safety.tip_after=2000.0\nreport.source=answers\nreport.columns=inflight,util\ndiscovery=pushed\n";
 
-/// A large fleet: each limiter sees little of a tenant, and has more servers than it keeps to.
+/// A large fleet: each gateway sees little of a tenant, and uses a subset of the servers.
 const LOW_TRAFFIC: &str = "balancers=100\nzone=0\nareas=a\n\
     classes.count=2\n\
     classes.0.deadline=1500.0\nclasses.0.goal_time=500.0\nclasses.0.idempotency=free\n\
@@ -48,7 +49,7 @@
     safety.start_capacity=0.3\nsafety.warm_after=3000.0\nsafety.overload_factor=2.0\nsafety.tip_after=1500.0\n\
     report.source=none\ndiscovery=pushed\n";
 
-/// No counter, lists only on request, nothing may be cancelled and nothing tried twice at once.
+/// No counter, lists by polling, no cancellation and no hedging.
 const WITHOUT_COUNTER: &str = "balancers=3\nzone=0\nareas=a,b\n\
     classes.count=2\n\
     classes.0.deadline=1000.0\nclasses.0.idempotency=free\n\
@@ -56,62 +57,84 @@
     plans.count=1\nplans.0.rate=5.0\nplans.0.store_size=10.0\n\
     ceilings.max_retry_after=0.0\nfamily_info.shared_counter=false\ndiscovery=on_request\n";
 
-fn holds(scenario: &Scenario, expected: u64) {
+fn assert_digest(scenario: &Scenario, expected: u64) {
     let mut world = World::new(scenario);
-    let digest = world.play();
+    let digest = world.run();
     println!("{:#018x} after {:?}", digest, world.counts());
     assert!(world.counts().requests > 1000, "too few requests: {:?}", world.counts());
     assert_eq!(digest, expected, "{:#018x}: the actions are not those that were recorded", digest);
 }
 
 #[test]
-fn tenants_counted_in_batches_on_a_quiet_day() {
-    holds(
-        &Scenario { limiters: 2, servers: 6, tenants: 12, rate: 120.0, ..Scenario::quiet(BATCHED, 1) },
+fn batched_usage_without_faults() {
+    assert_digest(
+        &Scenario {
+            gateways: 2,
+            servers: 6,
+            tenants: 12,
+            rate: 120.0,
+            ..Scenario::without_faults(BATCHED, 1)
+        },
         0xc8fe_2c46_1393_202d,
     );
 }
 
 #[test]
-fn tenants_counted_in_batches_with_faults() {
-    let scenario = Scenario::quiet(BATCHED, 2).with_all_faults();
-    holds(&Scenario { limiters: 2, servers: 8, tenants: 12, rate: 160.0, ..scenario }, 0x6587_6cbd_0cde_4280);
+fn batched_usage_with_faults() {
+    let scenario = Scenario::without_faults(BATCHED, 2).with_all_faults();
+    assert_digest(
+        &Scenario { gateways: 2, servers: 8, tenants: 12, rate: 160.0, ..scenario },
+        0x6587_6cbd_0cde_4280,
+    );
 }
 
 #[test]
-fn servers_that_cannot_carry_the_load() {
-    let scenario = Scenario { overloaded: true, ..Scenario::quiet(BATCHED, 3) };
-    holds(&Scenario { limiters: 2, servers: 4, tenants: 30, rate: 300.0, ..scenario }, 0x3b61_1703_6187_47e2);
+fn overloaded_servers() {
+    let scenario = Scenario { overloaded: true, ..Scenario::without_faults(BATCHED, 3) };
+    assert_digest(
+        &Scenario { gateways: 2, servers: 4, tenants: 30, rate: 300.0, ..scenario },
+        0x3b61_1703_6187_47e2,
+    );
 }
 
 #[test]
-fn low_traffic_tenants_on_a_quiet_day() {
-    holds(
-        &Scenario { limiters: 3, servers: 80, tenants: 60, rate: 150.0, ..Scenario::quiet(LOW_TRAFFIC, 4) },
+fn low_traffic_tenants_without_faults() {
+    assert_digest(
+        &Scenario {
+            gateways: 3,
+            servers: 80,
+            tenants: 60,
+            rate: 150.0,
+            ..Scenario::without_faults(LOW_TRAFFIC, 4)
+        },
         0x9d3c_908a_5af5_5cc8,
     );
 }
 
 #[test]
 fn low_traffic_tenants_with_faults() {
-    let scenario = Scenario::quiet(LOW_TRAFFIC, 5).with_all_faults();
-    holds(
-        &Scenario { limiters: 3, servers: 200, tenants: 60, rate: 200.0, ..scenario },
+    let scenario = Scenario::without_faults(LOW_TRAFFIC, 5).with_all_faults();
+    assert_digest(
+        &Scenario { gateways: 3, servers: 200, tenants: 60, rate: 200.0, ..scenario },
         0x5b25_cb7f_4d7b_7d76,
     );
 }
 
 #[test]
-fn low_traffic_tenants_on_a_crowded_counter() {
-    let scenario = Scenario { counter_delay: 55.0, counter_rejects: 0.2, ..Scenario::quiet(LOW_TRAFFIC, 6) };
-    holds(
-        &Scenario { limiters: 3, servers: 20, tenants: 60, rate: 200.0, ..scenario },
+fn low_traffic_tenants_with_a_congested_counter() {
+    let scenario =
+        Scenario { counter_delay: 55.0, counter_rejects: 0.2, ..Scenario::without_faults(LOW_TRAFFIC, 6) };
+    assert_digest(
+        &Scenario { gateways: 3, servers: 20, tenants: 60, rate: 200.0, ..scenario },
         0x9f1b_4b4a_053f_2e74,
     );
 }
 
 #[test]
-fn lists_on_request_without_a_counter() {
-    let scenario = Scenario::quiet(WITHOUT_COUNTER, 7).with_all_faults();
-    holds(&Scenario { limiters: 2, servers: 10, tenants: 8, rate: 120.0, ..scenario }, 0x5c92_2ed1_f426_9e21);
+fn polled_endpoints_without_a_counter() {
+    let scenario = Scenario::without_faults(WITHOUT_COUNTER, 7).with_all_faults();
+    assert_digest(
+        &Scenario { gateways: 2, servers: 10, tenants: 8, rate: 120.0, ..scenario },
+        0x5c92_2ed1_f426_9e21,
+    );
 }
--- a/tests/settings_variety.rs
+++ b/tests/settings_variety.rs
@@ -1,5 +1,5 @@
-//! The program on settings unlike those of any deployment it has been run for, extreme but legal values among
-//! them: what it does has to come from the settings alone.
+//! The gateway with settings unlike those of any deployment it has been run for, extreme but legal values among them:
+//! what it does has to come from the settings alone.
 
 #[allow(dead_code)] // each file of tests uses its own part
 mod support;
@@ -36,7 +36,7 @@
 }
 
 /// The same with something else at each of these places.
-fn with(changes: &[(&str, Value)]) -> Value {
+fn settings_with(changes: &[(&str, Value)]) -> Value {
     let mut all = settings();
     for (place, value) in changes {
         *all.pointer_mut(place).unwrap_or_else(|| panic!("{place} is not in the settings")) = value.clone();
@@ -63,19 +63,25 @@
 fn every_class_and_plan_is_served_whatever_the_settings_are() {
     let variants: [(&str, Value); 9] = [
         ("as they are", settings()),
-        ("one limiter", with(&[("/balancers", json!(1)), ("/areas", json!([])), ("/zone", json!(0))])),
-        ("seventy limiters", with(&[("/balancers", json!(70))])),
-        ("one attempt", with(&[("/ceilings/max_attempts", json!(1))])),
-        ("no bound on attempts, no wait to connect", {
-            with(&[("/ceilings/max_attempts", json!(0)), ("/ceilings/connect_timeout", json!(1e300))])
+        (
+            "one gateway",
+            settings_with(&[("/balancers", json!(1)), ("/areas", json!([])), ("/zone", json!(0))]),
+        ),
+        ("seventy gateways", settings_with(&[("/balancers", json!(70))])),
+        ("one attempt", settings_with(&[("/ceilings/max_attempts", json!(1))])),
+        ("no limit on attempts, no connect timeout", {
+            settings_with(&[
+                ("/ceilings/max_attempts", json!(0)),
+                ("/ceilings/connect_timeout", json!(1e300)),
+            ])
         }),
-        ("connections hardly kept", with(&[("/ceilings/conn_idle", json!(1.0))])),
-        ("no counter", with(&[("/family_info/shared_counter", json!(false))])),
-        ("cold for ever, and never", {
-            with(&[("/safety/warm_after", json!(1e12)), ("/safety/start_capacity", json!(0.0001))])
+        ("connections closed after 1 ms", settings_with(&[("/ceilings/conn_idle", json!(1.0))])),
+        ("no counter", settings_with(&[("/family_info/shared_counter", json!(false))])),
+        ("slow start without an end", {
+            settings_with(&[("/safety/warm_after", json!(1e12)), ("/safety/start_capacity", json!(0.0001))])
         }),
         ("long and short spans", {
-            with(&[
+            settings_with(&[
                 ("/classes/1/deadline", json!(1e15)),
                 ("/family_info/counter_timeout", json!(1e7)),
                 ("/safety/drain_grace", json!(1e300)),
@@ -88,8 +94,8 @@
         let server = Server::ok();
         let (mut setup, _discovery, _counter) = around(&often(&server));
         setup.settings = Some(settings);
-        let mut limiter = setup.start();
-        let mut client = limiter.client();
+        let mut gateway = setup.start();
+        let mut client = gateway.client();
         let classes = [("a", false), ("quarterly-report.v2", true), ("C_3", true)];
         let mut served = 0;
         for (i, (class, post)) in classes.into_iter().enumerate() {
@@ -100,23 +106,25 @@
                 served += 1;
             }
         }
-        assert_eq!(server.count(), served, "{what}: each goes on once");
-        // What other deployments know is unknown here.
+        assert_eq!(server.count(), served, "{what}: each is forwarded once");
+        // Classes and plans of other deployments are unknown here.
         let unknown =
             [("look", "c", 404), ("fetch-count", "c", 404), ("a", "team", 400), ("a", "lokal", 400)];
         for (class, plan, status) in unknown {
             let text = request(class, false, plan, "1", "x");
-            assert_eq!(limiter.client().raw(text.as_bytes()).map(|m| m.status()), Some(status), "{what}");
+            assert_eq!(gateway.client().raw(text.as_bytes()).map(|m| m.status()), Some(status), "{what}");
         }
         let text = request("a", false, "c", "250.5", "y");
-        assert_eq!(limiter.client().raw(text.as_bytes()).map(|m| m.status()), Some(400), "{what}: units");
-        limiter.terminate();
-        assert_eq!(limiter.exit_code(), Some(0), "{what}");
+        assert_eq!(gateway.client().raw(text.as_bytes()).map(|m| m.status()), Some(400), "{what}: units");
+        gateway.terminate();
+        assert_eq!(gateway.exit_code(), Some(0), "{what}");
     }
 }
 
+/// A server dies with a non-idempotent request, beside a draining one, in a deployment whose class and server names are
+/// not those of the others. The request must fail rather than run twice, and the draining server gets nothing.
 #[test]
-fn a_drain_is_heeded_and_an_unsafe_class_is_not_repeated_under_other_names_too() {
+fn a_drain_is_heeded_and_a_non_idempotent_class_is_not_retried_under_other_names_too() {
     let dies = Server::start(|_| Act::Close(Vec::new()));
     let ok = Server::ok();
     let known = list(
@@ -127,10 +135,14 @@
     let (discovery, counter) = (Discovery::start(known.clone()), Counter::ok());
     let mut setup = Setup::new(discovery.address, counter.address, &known);
     setup.settings = Some(settings());
-    let limiter = setup.start();
+    let gateway = setup.start();
     let text = request("quarterly-report.v2", true, "c", "1", "once");
-    let status = limiter.client().raw(text.as_bytes()).map(|m| m.status());
-    assert_eq!((status, dies.count(), ok.count()), (Some(502), 1, 0), "may have run: failed, not refused");
+    let status = gateway.client().raw(text.as_bytes()).map(|m| m.status());
+    assert_eq!(
+        (status, dies.count(), ok.count()),
+        (Some(502), 1, 0),
+        "may have been executed: failed, not rejected"
+    );
     eventually("a watch", || discovery.watching() == 1);
     discovery.write(
         &(list(2, false, &[member("node/2", ok.address, "Ready"), member("node/1", dies.address, "Gone")])
@@ -138,36 +150,38 @@
     );
     eventually("the other serves", || {
         let text = request("a", false, "c", "1", "again");
-        limiter.client().raw(text.as_bytes()).map(|m| m.status()) == Some(200)
+        gateway.client().raw(text.as_bytes()).map(|m| m.status()) == Some(200)
     });
     assert_eq!(dies.count(), 1);
 }
 
+/// A deployment hands over a file that cannot be used. The process has to end and say why: one that stayed up would look
+/// healthy and serve nobody.
 #[test]
 fn a_configuration_that_cannot_be_used_ends_the_process_with_a_message() {
     let path = std::env::temp_dir().join(format!("rate-limiting-gateway-bad-{}.json", std::process::id()));
-    let start = |text: Option<&str>| {
+    let start_with = |text: Option<&str>| {
         match text {
             Some(text) => std::fs::write(&path, text).expect("a file"),
             None => _ = std::fs::remove_file(&path),
         }
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_rate-limiting-gateway"));
-        let out = command.env("PROXY_CONFIG", &path).output().expect("the limiter");
+        let out = command.env("PROXY_CONFIG", &path).output().expect("the gateway");
         (out.status.code(), out.stderr.len())
     };
-    let whole =
+    let valid =
         Setup::new("127.0.0.1:1".parse().expect("an address"), "127.0.0.1:2".parse().expect("one"), "null");
-    let whole = whole.config();
+    let valid = valid.config();
     for (what, text) in [
         ("no file", None),
         ("no JSON", Some("{".to_owned())),
         ("another form", Some("[]".to_owned())),
-        ("no classes", Some(whole.replace("\"classes\"", "\"klasses\""))),
-        ("an unknown kind of class", Some(whole.replace("single_shot", "perhaps"))),
-        ("an address that is none", Some(whole.replace("127.0.0.1:1\"", "here\""))),
-        ("a number that is none", Some(whole.replace("\"deadline\":2000", "\"deadline\":\"soon\""))),
+        ("no classes", Some(valid.replace("\"classes\"", "\"klasses\""))),
+        ("an unknown kind of class", Some(valid.replace("single_shot", "perhaps"))),
+        ("an address that is none", Some(valid.replace("127.0.0.1:1\"", "here\""))),
+        ("a number that is none", Some(valid.replace("\"deadline\":2000", "\"deadline\":\"soon\""))),
     ] {
-        let (code, message) = start(text.as_deref());
+        let (code, message) = start_with(text.as_deref());
         assert!(code.is_some_and(|c| c != 0) && message > 0, "{what}: {code:?}, {message} bytes of message");
     }
     let _ = std::fs::remove_file(&path);
--- a/tests/support/action_world.rs
+++ b/tests/support/action_world.rs
@@ -1,7 +1,7 @@
-//! A small closed world around a few limiters on the simulator's wire: servers that answer, fail or fall silent, a
-//! list that changes, a counter, and clients. Everything follows from the seed and from what the limiters do.
+//! A small closed world around a few gateways on the simulator's wire: servers that answer, fail or fall silent, a
+//! list that changes, a counter, and clients. Everything follows from the seed and from what the gateways do.
 
-use super::frames::{frame, record};
+use super::frames::{event_code, frame, record};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rate_limiting_gateway::simulator::Host;
@@ -25,38 +25,46 @@
 const REMOVED: u8 = 0;
 const READY: u8 = 1;
 const DRAINING: u8 = 2;
-
-/// What is played.
+/// Codes of action records.
+const FORWARD: u16 = 1000;
+const REJECT: u16 = 1010;
+const FAIL: u16 = 1020;
+const CANCEL: u16 = 1030;
+const TIMER: u16 = 1040;
+const WATCH_ENDPOINTS: u16 = 1100;
+const INCREMENT_COUNTER: u16 = 1120;
+
+/// What is simulated.
 pub struct Scenario {
-    /// Settings text of every limiter.
+    /// Settings text of every gateway.
     pub settings: &'static str,
     pub seed: u64,
-    pub limiters: u32,
+    pub gateways: u32,
     pub servers: u32,
     pub tenants: u64,
-    /// Requests a second at all limiters together.
+    /// Requests a second at all gateways together.
     pub rate: f64,
     /// Simulated time, ms.
     pub span: f64,
-    /// Servers slow down with what is out at them.
+    /// Servers slow down with the attempts in flight at them.
     pub overloaded: bool,
-    /// Servers fail, hang, drain, vanish and come back cold; answers are lost; clients leave.
+    /// Servers fail, hang, drain, vanish and come back cold; responses are lost; clients disconnect.
     pub server_faults: bool,
-    /// The counter is silent for a while, and answers are lost.
+    /// The counter is silent for a while, and replies are lost.
     pub counter_faults: bool,
     /// A call to the counter takes about this long, ms.
     pub counter_delay: f64,
-    /// Share of the calls that are turned away.
+    /// Share of the calls that are rejected.
     pub counter_rejects: f64,
 }
 
 impl Scenario {
-    /// A day without faults.
-    pub fn quiet(settings: &'static str, seed: u64) -> Self {
+    /// A scenario without faults.
+    pub fn without_faults(settings: &'static str, seed: u64) -> Self {
         Scenario {
             settings,
             seed,
-            limiters: 2,
+            gateways: 2,
             servers: 6,
             tenants: 10,
             rate: 100.0,
@@ -69,13 +77,13 @@
         }
     }
 
-    /// The same with every kind of fault.
+    /// The same scenario with every kind of fault.
     pub fn with_all_faults(self) -> Self {
         Scenario { server_faults: true, counter_faults: true, ..self }
     }
 }
 
-/// How often the limiters did what; a scenario that does not reach a rule shows here.
+/// How often the gateways did what; a scenario that does not reach a rule shows here.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub requests: u32,
@@ -87,24 +95,24 @@
     pub watches: u32,
 }
 
-/// An event that is due for one limiter, or a change of the world itself.
-enum Due {
-    Arrival,
-    ListChange,
-    Event { limiter: u32, record: Vec<u8> },
-    AttemptEnds { limiter: u32, request: u32, attempt: u8, outcome: u8 },
-    ClientLeaves { limiter: u32, request: u32 },
-    Timer { limiter: u32, token: u64 },
+/// An event that is due for one gateway, or a change of the world itself.
+enum Scheduled {
+    RequestArrives,
+    EndpointsChange,
+    Event { gateway: u32, record: Vec<u8> },
+    AttemptEnds { gateway: u32, request: u32, attempt: u8, outcome: u8 },
+    ClientDisconnects { gateway: u32, request: u32 },
+    Timer { gateway: u32, token: u64 },
 }
 
 struct Attempt {
     server: u32,
     sent: f64,
-    live: bool,
+    in_flight: bool,
 }
 
 #[derive(Default)]
-struct OpenRequest {
+struct InFlightRequest {
     answered: bool,
     attempts: Vec<Attempt>,
 }
@@ -118,17 +126,17 @@
     broken_until: f64,
 }
 
-/// The world and its limiters.
+/// The world and its gateways.
 pub struct World<'a> {
     scenario: &'a Scenario,
     host: Host,
     rng: Pcg64Mcg,
     now: f64,
-    due: BTreeMap<u64, Due>,
+    due: BTreeMap<u64, Scheduled>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     sequence: u64,
     servers: Vec<Server>,
-    requests: BTreeMap<(u32, u32), OpenRequest>,
+    requests: BTreeMap<(u32, u32), InFlightRequest>,
     totals: BTreeMap<u64, f32>,
     counts: Counts,
     digest: u64,
@@ -170,34 +178,34 @@
         self.counts
     }
 
-    /// Plays the scenario; the digest of all reply frames.
-    pub fn play(&mut self) -> u64 {
-        for limiter in 0..self.scenario.limiters {
-            self.provision(limiter);
+    /// Runs the scenario; the digest of all reply frames.
+    pub fn run(&mut self) -> u64 {
+        for gateway in 0..self.scenario.gateways {
+            self.start_gateway(gateway);
         }
-        self.plan(0.0, Due::Arrival);
-        self.plan(1500.0, Due::ListChange);
+        self.schedule(0.0, Scheduled::RequestArrives);
+        self.schedule(1500.0, Scheduled::EndpointsChange);
         while let Some(Reverse((at, number))) = self.queue.pop() {
             self.now = at as f64 / 1000.0;
             if self.now > START + self.scenario.span {
                 break;
             }
             if let Some(due) = self.due.remove(&number) {
-                self.come_due(due);
+                self.fire(due);
             }
         }
         self.digest
     }
 
-    fn roll(&mut self) -> f64 {
+    fn random_share(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn pick(&mut self, below: u64) -> u64 {
+    fn random_below(&mut self, below: u64) -> u64 {
         self.rng.next_u64() % below.max(1)
     }
 
-    fn plan(&mut self, after: f64, due: Due) {
+    fn schedule(&mut self, after: f64, due: Scheduled) {
         let at = ((self.now + after.max(0.0)) * 1000.0) as u64;
         self.sequence += 1;
         self.due.insert(self.sequence, due);
@@ -208,39 +216,46 @@
         self.now - START
     }
 
-    fn come_due(&mut self, due: Due) {
+    fn fire(&mut self, due: Scheduled) {
         match due {
-            Due::Arrival => self.arrive(),
-            Due::ListChange => self.change_list(),
-            Due::Event { limiter, record } => self.tell(limiter, record, &[]),
-            Due::AttemptEnds { limiter, request, attempt, outcome } => {
-                self.end_attempt(limiter, request, attempt, outcome);
+            Scheduled::RequestArrives => self.request_arrives(),
+            Scheduled::EndpointsChange => self.change_endpoints(),
+            Scheduled::Event { gateway, record } => self.send_event(gateway, record, &[]),
+            Scheduled::AttemptEnds { gateway, request, attempt, outcome } => {
+                self.end_attempt(gateway, request, attempt, outcome);
             }
-            Due::ClientLeaves { limiter, request } => self.leave(limiter, request),
-            Due::Timer { limiter, token } => {
-                self.tell(limiter, record(1070, limiter, &[(6, &token.to_le_bytes())]), &[]);
+            Scheduled::ClientDisconnects { gateway, request } => self.disconnect_client(gateway, request),
+            Scheduled::Timer { gateway, token } => {
+                self.send_event(
+                    gateway,
+                    record(event_code::TIMER, gateway, &[(6, &token.to_le_bytes())]),
+                    &[],
+                );
             }
         }
     }
 
     // ---- Events -------------------------------------------------------------------------------
 
-    fn provision(&mut self, limiter: u32) {
+    fn start_gateway(&mut self, gateway: u32) {
         let text = self.scenario.settings.as_bytes();
-        let seed = self.scenario.seed * 1000 + u64::from(limiter);
-        let provision =
-            record(1040, limiter, &[(6, &seed.to_le_bytes()), (18, &(text.len() as u32).to_le_bytes())]);
+        let seed = self.scenario.seed * 1000 + u64::from(gateway);
+        let started = record(
+            event_code::INSTANCE_STARTED,
+            gateway,
+            &[(6, &seed.to_le_bytes()), (18, &(text.len() as u32).to_le_bytes())],
+        );
         let all: Vec<u32> = (0..self.scenario.servers).collect();
         let offset = (text.len() as u32).to_le_bytes();
         let count = (all.len() as u32).to_le_bytes();
-        // As last held: half of the list.
+        // As cached: half of the list.
         let half = (all.len() as u32 / 2).to_le_bytes();
-        let cached = record(1080, limiter, &[(6, &[2]), (11, &offset), (15, &half)]);
+        let cached = record(event_code::ENDPOINTS_CHANGED, gateway, &[(6, &[2]), (11, &offset), (15, &half)]);
         let tail = [text, &self.entries(&all)].concat();
-        self.exchange(limiter, &[provision, cached], &tail);
-        let full = record(1080, limiter, &[(6, &[1]), (15, &count)]);
+        self.exchange(gateway, &[started, cached], &tail);
+        let complete = record(event_code::ENDPOINTS_CHANGED, gateway, &[(6, &[1]), (15, &count)]);
         let entries = self.entries(&all);
-        self.tell(limiter, full, &entries);
+        self.send_event(gateway, complete, &entries);
     }
 
     fn entries(&self, servers: &[u32]) -> Vec<u8> {
@@ -258,31 +273,31 @@
         bytes
     }
 
-    fn arrive(&mut self) {
-        let busy = (10_000.0..15_000.0).contains(&self.elapsed());
-        let rate = if busy { 2.0 * self.scenario.rate } else { self.scenario.rate };
-        let wait = -(1.0 - self.roll()).ln() * 1000.0 / rate;
-        self.plan(wait, Due::Arrival);
-        let limiter = self.pick(u64::from(self.scenario.limiters)) as u32;
-        // Few tenants ask for most, so that some go beyond their quota.
-        let skewed = self.roll() * self.roll();
-        let tenant = (skewed * self.scenario.tenants as f64) as u64;
-        let classes = setting(self.scenario.settings, "classes.count");
-        let plans = setting(self.scenario.settings, "plans.count");
-        let class = self.pick(classes) as u16;
+    fn request_arrives(&mut self) {
+        let peak = (10_000.0..15_000.0).contains(&self.elapsed());
+        let rate = if peak { 2.0 * self.scenario.rate } else { self.scenario.rate };
+        let wait = -(1.0 - self.random_share()).ln() * 1000.0 / rate;
+        self.schedule(wait, Scheduled::RequestArrives);
+        let gateway = self.random_below(u64::from(self.scenario.gateways)) as u32;
+        // Few tenants send most requests, so that some go beyond their quota.
+        let skewed_share = self.random_share() * self.random_share();
+        let tenant = (skewed_share * self.scenario.tenants as f64) as u64;
+        let classes = integer_setting(self.scenario.settings, "classes.count");
+        let plans = integer_setting(self.scenario.settings, "plans.count");
+        let class = self.random_below(classes) as u16;
         let plan = (tenant % plans) as u32;
-        let spread = setting(self.scenario.settings, "balancers") as f32;
-        let units: f32 = if self.roll() < 0.2 { 2.0 } else { 1.0 };
-        let time_left = if self.roll() < 0.1 { 30.0 + 400.0 * self.roll() } else { 1000.0 };
+        let gateway_count = integer_setting(self.scenario.settings, "balancers") as f32;
+        let units: f32 = if self.random_share() < 0.2 { 2.0 } else { 1.0 };
+        let time_left = if self.random_share() < 0.1 { 30.0 + 400.0 * self.random_share() } else { 1000.0 };
         self.counts.requests += 1;
         let request = self.counts.requests;
-        self.requests.insert((limiter, request), OpenRequest::default());
-        let ingress = record(
-            1010,
-            limiter,
+        self.requests.insert((gateway, request), InFlightRequest::default());
+        let arrival = record(
+            event_code::REQUEST,
+            gateway,
             &[
                 (6, &request.to_le_bytes()),
-                (16, &spread.to_le_bytes()),
+                (16, &gateway_count.to_le_bytes()),
                 (20, &time_left.to_le_bytes()),
                 (28, &class.to_le_bytes()),
                 (30, &units.to_le_bytes()),
@@ -290,49 +305,63 @@
                 (38, &(tenant + 1).to_le_bytes()),
             ],
         );
-        if self.scenario.server_faults && self.roll() < 0.05 {
-            let after = 200.0 * self.roll();
-            self.plan(after, Due::ClientLeaves { limiter, request });
+        if self.scenario.server_faults && self.random_share() < 0.05 {
+            let after = 200.0 * self.random_share();
+            self.schedule(after, Scheduled::ClientDisconnects { gateway, request });
         }
-        self.tell(limiter, ingress, &[]);
+        self.send_event(gateway, arrival, &[]);
     }
 
-    fn leave(&mut self, limiter: u32, request: u32) {
-        let Some(open) = self.requests.get_mut(&(limiter, request)).filter(|o| !o.answered) else { return };
-        open.answered = true;
-        self.tell(limiter, record(1100, limiter, &[(6, &request.to_le_bytes())]), &[]);
+    fn disconnect_client(&mut self, gateway: u32, request: u32) {
+        let Some(in_flight_request) =
+            self.requests.get_mut(&(gateway, request)).filter(|request| !request.answered)
+        else {
+            return;
+        };
+        in_flight_request.answered = true;
+        self.send_event(
+            gateway,
+            record(event_code::CLIENT_DISCONNECTED, gateway, &[(6, &request.to_le_bytes())]),
+            &[],
+        );
     }
 
-    fn end_attempt(&mut self, limiter: u32, request: u32, attempt: u8, outcome: u8) {
-        let Some(open) = self.requests.get_mut(&(limiter, request)) else { return };
-        let Some(out) = open.attempts.get_mut(usize::from(attempt)).filter(|a| a.live) else { return };
-        out.live = false;
-        open.answered |= outcome == OK;
-        let (server, took, complete) = (out.server, self.now - out.sent, u8::from(open.answered));
+    fn end_attempt(&mut self, gateway: u32, request: u32, attempt: u8, outcome: u8) {
+        let Some(in_flight_request) = self.requests.get_mut(&(gateway, request)) else { return };
+        let Some(ended_attempt) =
+            in_flight_request.attempts.get_mut(usize::from(attempt)).filter(|attempt| attempt.in_flight)
+        else {
+            return;
+        };
+        ended_attempt.in_flight = false;
+        in_flight_request.answered |= outcome == OK;
+        let (server, elapsed, complete) =
+            (ended_attempt.server, self.now - ended_attempt.sent, u8::from(in_flight_request.answered));
         self.servers[server as usize - 1].in_flight -= 1.0;
         let ended = record(
-            1030,
-            limiter,
+            event_code::ATTEMPT_ENDED,
+            gateway,
             &[
                 (6, &request.to_le_bytes()),
-                (14, &took.to_le_bytes()),
+                (14, &elapsed.to_le_bytes()),
                 (22, &server.to_le_bytes()),
                 (26, &[outcome, complete, attempt]),
             ],
         );
-        self.tell(limiter, ended, &[]);
+        self.send_event(gateway, ended, &[]);
     }
 
-    /// Some servers drain, go, break or come back cold, and all limiters are told, in a change or a whole list.
-    fn change_list(&mut self) {
-        self.plan(1500.0, Due::ListChange);
+    /// Some servers drain, go, break or come back cold. All gateways are notified, by an incremental or a complete
+    /// list.
+    fn change_endpoints(&mut self) {
+        self.schedule(1500.0, Scheduled::EndpointsChange);
         if !self.scenario.server_faults {
             return;
         }
         let mut changed = Vec::new();
         for _ in 0..1 + self.scenario.servers / 10 {
-            let number = self.pick(u64::from(self.scenario.servers)) as u32;
-            let roll = self.roll();
+            let number = self.random_below(u64::from(self.scenario.servers)) as u32;
+            let roll = self.random_share();
             let now = self.now;
             let server = &mut self.servers[number as usize];
             match server.state {
@@ -343,94 +372,104 @@
             }
             changed.push(number);
         }
-        let kind = [0u8, 0, 1, 3][self.pick(4) as usize];
+        let kind = [0u8, 0, 1, 3][self.random_below(4) as usize];
         let listed: Vec<u32> = match kind {
             0 => changed,
             1 => (0..self.scenario.servers).filter(|n| self.servers[*n as usize].state != REMOVED).collect(),
             _ => Vec::new(),
         };
         let (entries, count) = (self.entries(&listed), (listed.len() as u32).to_le_bytes());
-        for limiter in 0..self.scenario.limiters {
-            self.tell(limiter, record(1080, limiter, &[(6, &[kind]), (15, &count)]), &entries);
+        for gateway in 0..self.scenario.gateways {
+            self.send_event(
+                gateway,
+                record(event_code::ENDPOINTS_CHANGED, gateway, &[(6, &[kind]), (15, &count)]),
+                &entries,
+            );
         }
     }
 
-    fn tell(&mut self, limiter: u32, event: Vec<u8>, tail: &[u8]) {
-        self.exchange(limiter, &[event], tail);
+    fn send_event(&mut self, gateway: u32, event: Vec<u8>, tail: &[u8]) {
+        self.exchange(gateway, &[event], tail);
     }
 
-    fn exchange(&mut self, limiter: u32, events: &[Vec<u8>], tail: &[u8]) {
+    fn exchange(&mut self, gateway: u32, events: &[Vec<u8>], tail: &[u8]) {
         let reply = self.host.answer(&frame(self.now, events, tail)).unwrap();
         for byte in &reply {
             self.digest = (self.digest ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         }
         for action in reply[REPLY_HEADER_BYTES..].chunks_exact(ACTION_BYTES) {
-            self.carry_out(limiter, action);
+            self.execute(gateway, action);
         }
     }
 
     // ---- Actions ------------------------------------------------------------------------------
 
-    fn carry_out(&mut self, limiter: u32, action: &[u8]) {
+    fn execute(&mut self, gateway: u32, action: &[u8]) {
         let request = u32_at(action, 6);
         match u16::from_le_bytes([action[0], action[1]]) {
-            1000 => self.forward(limiter, request, u32_at(action, 10), f64_at(action, 14)),
-            1010 => {
+            FORWARD => self.forward(gateway, request, u32_at(action, 10), f64_at(action, 14)),
+            REJECT => {
                 self.counts.rejected += 1;
-                self.answer(limiter, request);
+                self.complete_request(gateway, request);
             }
-            1020 => {
+            FAIL => {
                 self.counts.failed += 1;
-                self.answer(limiter, request);
+                self.complete_request(gateway, request);
             }
-            1030 => {
+            CANCEL => {
                 self.counts.cancelled += 1;
                 let (attempt, outcome) = (action[10], CANCELLED);
-                self.plan(0.0, Due::AttemptEnds { limiter, request, attempt, outcome });
+                self.schedule(0.0, Scheduled::AttemptEnds { gateway, request, attempt, outcome });
             }
-            1040 => {
+            TIMER => {
                 let token = u64_at(action, 14);
-                self.plan(f64_at(action, 6), Due::Timer { limiter, token });
+                self.schedule(f64_at(action, 6), Scheduled::Timer { gateway, token });
+            }
+            WATCH_ENDPOINTS => self.counts.watches += 1,
+            INCREMENT_COUNTER => {
+                self.increment_counter(gateway, u64_at(action, 6), f32::from_bits(u32_at(action, 14)))
             }
-            1100 => self.counts.watches += 1,
-            1120 => self.count(limiter, u64_at(action, 6), f32::from_bits(u32_at(action, 14))),
             code => panic!("unknown action {code}"),
         }
     }
 
-    fn answer(&mut self, limiter: u32, request: u32) {
-        if let Some(open) = self.requests.get_mut(&(limiter, request)) {
-            assert!(!open.answered, "a second answer to {request}");
-            open.answered = true;
+    fn complete_request(&mut self, gateway: u32, request: u32) {
+        if let Some(in_flight_request) = self.requests.get_mut(&(gateway, request)) {
+            assert!(!in_flight_request.answered, "a second answer to {request}");
+            in_flight_request.answered = true;
         }
     }
 
-    fn forward(&mut self, limiter: u32, request: u32, server: u32, timeout: f64) {
+    fn forward(&mut self, gateway: u32, request: u32, server: u32, timeout: f64) {
         self.counts.forwarded += 1;
         let sent = self.now;
-        let open = self.requests.get_mut(&(limiter, request)).unwrap();
-        assert!(!open.answered, "an attempt after the answer to {request}");
-        let attempt = open.attempts.len() as u8;
-        open.attempts.push(Attempt { server, sent, live: true });
-        let (mut took, mut outcome) = self.service(server as usize - 1);
+        let in_flight_request = self.requests.get_mut(&(gateway, request)).unwrap();
+        assert!(!in_flight_request.answered, "an attempt after the answer to {request}");
+        let attempt = in_flight_request.attempts.len() as u8;
+        in_flight_request.attempts.push(Attempt { server, sent, in_flight: true });
+        let (mut elapsed, mut outcome) = self.serve(server as usize - 1);
         self.servers[server as usize - 1].in_flight += 1.0;
-        if took >= timeout {
-            (took, outcome) = (timeout, TIMED_OUT);
+        if elapsed >= timeout {
+            (elapsed, outcome) = (timeout, TIMED_OUT);
         }
-        if self.roll() < 0.02 {
-            let streaming = record(1090, limiter, &[(6, &request.to_le_bytes()), (10, &[attempt])]);
-            self.plan(took / 2.0, Due::Event { limiter, record: streaming });
+        if self.random_share() < 0.02 {
+            let started = record(
+                event_code::RESPONSE_STARTED,
+                gateway,
+                &[(6, &request.to_le_bytes()), (10, &[attempt])],
+            );
+            self.schedule(elapsed / 2.0, Scheduled::Event { gateway, record: started });
         }
-        self.plan(took, Due::AttemptEnds { limiter, request, attempt, outcome });
+        self.schedule(elapsed, Scheduled::AttemptEnds { gateway, request, attempt, outcome });
     }
 
     /// How long a server takes, ms, and how it ends.
-    fn service(&mut self, index: usize) -> (f64, u8) {
+    fn serve(&mut self, index: usize) -> (f64, u8) {
         let server = self.servers[index];
-        let crowd = if self.scenario.overloaded { server.in_flight } else { server.in_flight / 16.0 };
-        let work = 20.0 + 40.0 * self.roll();
-        let usual = work * (1.0 + crowd);
-        let roll = self.roll();
+        let load = if self.scenario.overloaded { server.in_flight } else { server.in_flight / 16.0 };
+        let work = 20.0 + 40.0 * self.random_share();
+        let service_time = work * (1.0 + load);
+        let roll = self.random_share();
         if server.state == REMOVED {
             return (250.0, CONNECT_FAILED);
         }
@@ -438,51 +477,51 @@
             return [(5.0, ERROR), (9_000.0, OK), (1.0, RESET), (2.0, REJECTED)][index % 4];
         }
         match roll {
-            _ if !self.scenario.server_faults => (usual, OK),
-            r if r < 0.01 => (usual / 2.0, RESET),
-            r if r < 0.02 => (usual / 4.0, ERROR),
+            _ if !self.scenario.server_faults => (service_time, OK),
+            r if r < 0.01 => (service_time / 2.0, RESET),
+            r if r < 0.02 => (service_time / 4.0, ERROR),
             r if r < 0.03 => (1.0, REJECTED),
             r if r < 0.05 => (9_000.0, OK),
-            _ => (usual, OK),
+            _ => (service_time, OK),
         }
     }
 
-    fn count(&mut self, limiter: u32, name: u64, add: f32) {
+    fn increment_counter(&mut self, gateway: u32, name: u64, add: f32) {
         self.counts.counter_calls += 1;
         let silent = self.scenario.counter_faults && (18_000.0..23_000.0).contains(&self.elapsed());
-        let lost = self.scenario.counter_faults && self.roll() < 0.03;
-        let mut took = self.scenario.counter_delay * (0.5 + self.roll());
+        let lost = self.scenario.counter_faults && self.random_share() < 0.03;
+        let mut elapsed = self.scenario.counter_delay * (0.5 + self.random_share());
         let mut outcome = OK;
-        if self.roll() < self.scenario.counter_rejects {
-            (took, outcome) = (1.0, REJECTED);
+        if self.random_share() < self.scenario.counter_rejects {
+            (elapsed, outcome) = (1.0, REJECTED);
         } else if silent {
-            (took, outcome) = (30.0, if name % 2 == 0 { TIMED_OUT } else { CONNECT_FAILED });
+            (elapsed, outcome) = (30.0, if name % 2 == 0 { TIMED_OUT } else { CONNECT_FAILED });
         } else if lost {
-            (took, outcome) = (10.0, RESET);
+            (elapsed, outcome) = (10.0, RESET);
         }
         let mut total = 0f32;
         if outcome == OK || outcome == RESET {
-            let held = self.totals.entry(name).or_default();
-            *held += add;
-            total = *held;
+            let value = self.totals.entry(name).or_default();
+            *value += add;
+            total = *value;
         }
         let total = if outcome == OK { total } else { 0.0 };
-        let counted = record(
-            1060,
-            limiter,
+        let replied = record(
+            event_code::COUNTER_REPLIED,
+            gateway,
             &[
-                (6, &took.to_le_bytes()),
+                (6, &elapsed.to_le_bytes()),
                 (14, &[outcome]),
                 (15, &name.to_le_bytes()),
                 (23, &total.to_le_bytes()),
             ],
         );
-        self.plan(took, Due::Event { limiter, record: counted });
+        self.schedule(elapsed, Scheduled::Event { gateway, record: replied });
     }
 }
 
 /// A whole number of the settings text.
-fn setting(settings: &str, key: &str) -> u64 {
+fn integer_setting(settings: &str, key: &str) -> u64 {
     let line = settings.lines().find_map(|line| line.trim().strip_prefix(key)?.strip_prefix('='));
     line.and_then(|value| value.parse().ok()).expect(key)
 }
--- a/tests/support/frames.rs
+++ b/tests/support/frames.rs
@@ -1,4 +1,16 @@
-//! Frames of the simulator's wire: builds event frames and reads reply frames, byte by byte as WIRE lays them out.
+//! Frames of the simulator's wire: builds event frames and reads reply frames, byte by byte as the protocol's page lays them out.
+
+/// Codes of event records.
+pub mod event_code {
+    pub const INSTANCE_STARTED: u16 = 1040;
+    pub const ENDPOINTS_CHANGED: u16 = 1080;
+    pub const REQUEST: u16 = 1010;
+    pub const ATTEMPT_ENDED: u16 = 1030;
+    pub const RESPONSE_STARTED: u16 = 1090;
+    pub const CLIENT_DISCONNECTED: u16 = 1100;
+    pub const TIMER: u16 = 1070;
+    pub const COUNTER_REPLIED: u16 = 1060;
+}
 
 /// Bytes of an event record.
 pub const EVENT_BYTES: usize = 48;
--- a/tests/unit/endpoint_watcher.rs
+++ b/tests/unit/endpoint_watcher.rs
@@ -62,7 +62,7 @@
     AgentMode::SendsBadEntries,
 ];
 
-/// An agent in memory. What it does with a call is settled when the call comes and stays so for that call.
+/// An agent in memory. What it does with a call is decided when the call comes and stays so for that call.
 struct AgentState {
     mode: Cell<AgentMode>,
     /// What it does with calls for a watch, if that is another thing.
@@ -303,6 +303,7 @@
     (0..90).map(|i| Duration::from_millis(i * 97))
 }
 
+/// The agent is in one kind of trouble, for any length of time, and then has a drain to send.
 #[test]
 fn what_the_agent_holds_is_acted_on_in_time_from_every_state() {
     for back in [AgentMode::Healthy, AgentMode::Slow] {
@@ -329,6 +330,8 @@
     }
 }
 
+/// The agent is silent, and a call is out to it at the moment it comes back. That call is lost; the next one has to bring
+/// the drain before new requests to the server are forbidden.
 #[test]
 fn a_call_that_was_out_when_a_silent_agent_came_back_costs_less_than_the_grace() {
     for stage in STAGES {
@@ -347,6 +350,8 @@
     }
 }
 
+/// Operators move the gateway to another agent by SIGHUP while the watcher is in any state. A drain that the new agent
+/// holds must not wait for what the watcher was doing with the old one.
 #[test]
 fn a_new_agent_is_heard_in_time_after_sighup_in_every_state() {
     for back in [AgentMode::Healthy, AgentMode::Slow] {
@@ -389,6 +394,8 @@
     }
 }
 
+/// The agent answers calls for a watch and sends nothing on them, or refuses them, while its complete list would have the
+/// drain. The watcher has to ask for that list, and not so often that lists become a load.
 #[test]
 fn what_no_watch_sends_comes_by_a_complete_list() {
     // Its calls for a watch go on failing; only its list has the change.
@@ -437,8 +444,9 @@
     });
 }
 
+/// The agent is down for a minute. The watcher must not call it in a spin, nor back off so far that its return is missed.
 #[test]
-fn an_agent_that_stays_bad_is_neither_asked_without_a_pause_nor_forgotten_with_a_long_grace() {
+fn an_agent_that_stays_faulty_is_neither_called_without_a_backoff_nor_forgotten_with_a_long_grace() {
     for grace in [1000, 20_000].map(Duration::from_millis) {
         for mode in [AgentMode::Closes, AgentMode::Refuses, AgentMode::HangsAtHead] {
             for faulty_for in fault_durations().step_by(6).map(|duration| 10 * NOTIFIED + duration) {
@@ -452,8 +460,9 @@
                     (until_drained(&sink).await, calls)
                 });
                 assert!(elapsed < Duration::from_secs(2), "grace {grace:?}, {mode:?}: {elapsed:?}");
-                let most = faulty_for.as_millis() / CallTiming::within(grace).max_backoff.as_millis() + 10;
-                assert!(u128::from(calls) <= most, "grace {grace:?}, {mode:?}: {calls} calls");
+                let max_calls =
+                    faulty_for.as_millis() / CallTiming::within(grace).max_backoff.as_millis() + 10;
+                assert!(u128::from(calls) <= max_calls, "grace {grace:?}, {mode:?}: {calls} calls");
             }
         }
     }
