--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Everything a gateway is told at its start.
+/// Everything that a gateway starts with.
 pub struct Config {
     /// The gateway's name, for the log.
     pub name: String,
@@ -98,7 +98,7 @@
     pub known: Option<Box<RawValue>>,
     /// What the platform allows.
     pub limits: Limits,
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// Names of classes, plans and zones.
     pub names: Names,
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -82,12 +82,6 @@
     }
 }
 
-impl From<std::io::Error> for DiscoveryError {
-    fn from(error: std::io::Error) -> Self {
-        DiscoveryError::Connect(error)
-    }
-}
-
 impl From<hyper::http::Error> for DiscoveryError {
     fn from(error: hyper::http::Error) -> Self {
         DiscoveryError::Request(error)
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -45,8 +45,10 @@
         max_bytes: usize,
     ) -> Result<Self, DiscoveryError> {
         // Cancelled at any await in here, the connection is closed, and the agent is called again.
-        let stream =
-            timeout(call_timeout, agent.connect()).await.map_err(|_| DiscoveryError::ConnectTimeout)??;
+        let stream = timeout(call_timeout, agent.connect())
+            .await
+            .map_err(|_| DiscoveryError::ConnectTimeout)?
+            .map_err(DiscoveryError::Connect)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let connection = ConnectionTask(tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,10 +1,10 @@
-//! Why the input does not hold to the simulator's protocol.
+//! Errors of the simulator's protocol.
 
 use crate::config::SettingsError;
 use std::error::Error;
 use std::fmt::{Display, Formatter};
 
-/// Why the input does not hold to the simulator's protocol, or cannot be read or answered.
+/// Why the input violates the simulator's protocol, or cannot be read or answered.
 #[derive(Debug)]
 pub enum FrameError {
     /// Reading or writing has failed.
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub struct Host {
     gateways: HashMap<u32, Gateway>,
-    /// Actions of the event at hand; kept for its allocation.
+    /// Actions of the current event; reused to save an allocation.
     actions: Vec<Action>,
 }
 
@@ -25,7 +25,7 @@
     /// Answers frames until the input ends between two of them.
     ///
     /// # Errors
-    /// On input that does not hold to the protocol, or when reading or writing fails.
+    /// On input that violates the protocol, or when reading or writing fails.
     pub fn run(&mut self, mut input: impl Read, mut output: impl Write) -> Result<(), FrameError> {
         let mut number = 0;
         let mut frame = Vec::new();
@@ -40,10 +40,10 @@
         Ok(())
     }
 
-    /// The reply to one whole frame.
+    /// The reply to one complete frame.
     ///
     /// # Errors
-    /// When the frame does not hold to the protocol.
+    /// When the frame violates the protocol.
     pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, FrameError> {
         let head = FieldReader { bytes: frame, section: "header" };
         let (count, now) = (head.u32(header::RECORDS)? as usize, head.f64(header::TIME)?);
--- a/src/simulator/layout.rs
+++ b/src/simulator/layout.rs
@@ -44,7 +44,7 @@
         pub const CODE: u16 = 1050;
     }
 
-    /// `ROSTER_CHANGE`: news of the endpoint list.
+    /// `ROSTER_CHANGE`: the endpoint list has changed.
     pub mod endpoints_changed {
         pub const CODE: u16 = 1080;
         pub const UPDATE: usize = 6; // kind
