--- /dev/null
+++ b/src/net/upstream/connection.rs
@@ -0,0 +1,81 @@
+//! One HTTP/1.1 connection to a server.
+
+use super::closable_socket::ClosableSocket;
+use super::connection_limit::ConnectionPermit;
+use super::instrumented_stream::{ExchangeState, InstrumentedStream};
+use crate::event::Outcome;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpSocket, TcpStream};
+use tokio::task::AbortHandle;
+
+/// Read buffer of a connection, bytes. A response head that does not fit is an error.
+const READ_BUFFER: usize = 16 * 1024;
+
+/// An open connection. Dropping it closes its socket at once, whatever is in flight on it.
+pub(super) struct Connection {
+    pub(super) sender: SendRequest<Full<Bytes>>,
+    socket: ClosableSocket,
+    pub(super) exchange: Rc<ExchangeState>,
+    driver: AbortHandle,
+    address: SocketAddr,
+    /// Last, so that the place is given back after the socket has been closed.
+    _permit: ConnectionPermit,
+}
+
+impl Connection {
+    /// Connects to a server. Dropped at an `.await`, it gives its permit back after closing its socket.
+    ///
+    /// # Errors
+    /// How the attempt that wanted the connection has ended: `ConnectFailed`, or `NotSent` where this machine
+    /// could not open a socket, which is no fault of the server.
+    pub(super) async fn open(
+        address: SocketAddr,
+        timeout: Duration,
+        permit: ConnectionPermit,
+    ) -> Result<Self, Outcome> {
+        let stream = connect(address, timeout).await?;
+        let socket = ClosableSocket::new(stream);
+        let exchange = Rc::new(ExchangeState::default());
+        let io = TokioIo::new(InstrumentedStream::new(socket.clone(), exchange.clone()));
+        let handshake = http1::Builder::new().max_buf_size(READ_BUFFER).handshake(io).await;
+        let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
+        let driver = tokio::task::spawn_local(async move {
+            // The attempt in flight sees how the connection ends.
+            let _ = connection.await;
+        });
+        let driver = driver.abort_handle();
+        Ok(Connection { sender, socket, exchange, driver, address, _permit: permit })
+    }
+
+    /// The server's address.
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Whether the server has closed the connection, as far as the runtime has noticed.
+    pub(super) fn is_closed(&self) -> bool {
+        self.sender.is_closed()
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.driver.abort();
+        self.socket.close();
+    }
+}
+
+async fn connect(address: SocketAddr, timeout: Duration) -> Result<TcpStream, Outcome> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+    let socket = socket.map_err(|_| Outcome::NotSent)?;
+    let connected = tokio::time::timeout(timeout, socket.connect(address)).await;
+    let stream = connected.ok().and_then(Result::ok).ok_or(Outcome::ConnectFailed)?;
+    stream.set_nodelay(true).map_err(|_| Outcome::ConnectFailed)?;
+    Ok(stream)
+}
