--- a/src/net/counter/connection_set.rs
+++ b/src/net/counter/connection_set.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Number of connections. The service answers each connection in order, so a call to a slow shard delays those
-/// behind it.
+/// Number of connections. The service answers each connection in order, so a call to a slow shard delays
+/// those behind it.
 pub(super) const CONNECTIONS: usize = 4;
 
 #[derive(Default)]
--- a/src/net/counter/exchange.rs
+++ b/src/net/counter/exchange.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Writes calls and reads replies until the connection has been retired and owes nothing. A retired connection
-/// on which nothing happens for `max_silence` is given up.
+/// Writes calls and reads replies until the connection has been retired and owes nothing. A retired
+/// connection on which nothing happens for `max_silence` is given up.
 ///
 /// # Errors
 /// Why the connection ended before.
--- a/src/net/counter/protocol.rs
+++ b/src/net/counter/protocol.rs
@@ -2,8 +2,10 @@
 //!
 //! | call | replies |
 //! | --- | --- |
-//! | `bump <key, 16 hexadecimal digits> <amount> <time to live, whole ms>` | `ok <total>`, `busy`, `error ...` |
+//! | `bump <key> <amount> <time to live>` | `ok <total>`, `busy`, `error ...` |
 //! | `ping` | `pong` |
+//!
+//! A key is written in 16 hexadecimal digits, the time to live in whole ms.
 
 use crate::ids::{CounterKey, Millis};
 use std::fmt;
--- a/src/net/counter/reconnect.rs
+++ b/src/net/counter/reconnect.rs
@@ -15,8 +15,8 @@
 /// Time in which a connection must come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Delay after the first failure, doubled after each further one up to [`MAX_BACKOFF`]. A connection that worked
-/// for longer than this is replaced at once: a service that resets one connection has not failed.
+/// Delay after the first failure, doubled after each further one up to [`MAX_BACKOFF`]. A connection that
+/// worked for longer than this is replaced at once: a service that resets one connection has not failed.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
--- a/src/net/upstream/connection_limit.rs
+++ b/src/net/upstream/connection_limit.rs
@@ -18,8 +18,8 @@
         self.open.get() >= self.max
     }
 
-    /// Counts one more connection, for as long as the permit lives. The caller has made sure that the limit is
-    /// not reached.
+    /// Counts one more connection, for as long as the permit lives. The caller has made sure that the limit
+    /// is not reached.
     pub(super) fn acquire(&self) -> ConnectionPermit {
         self.open.set(self.open.get() + 1);
         ConnectionPermit(self.open.clone())
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! Upstream side of the gateway: connections to servers, and the attempts that are made on them.
 //!
-//! Connections are pooled here and not by a pooling HTTP client. Such a client resends requests on its own and
-//! does not report whether any part of a request was written, which decides whether it may be retried.
+//! Connections are pooled here and not by a pooling HTTP client. Such a client resends requests on its own
+//! and does not report whether any part of a request was written, which decides whether it may be retried.
 //!
 //! An [`attempt`](attempt()) takes a connection from the [`ConnectionPool`] or opens one, sends the request
 //! through a stream that guards its first byte, reads the response completely and reports one result to its
