--- /dev/null
+++ b/tests/end_to_end/main.rs
@@ -0,0 +1,62 @@
+//! The gateway program against stub servers, discovery and counter on loopback sockets. Each test guards
+//! against one way to lose, duplicate or misdirect a request, or to fail as a process.
+
+mod client_requests;
+mod counter_service;
+mod endpoint_watch;
+mod lifecycle;
+#[allow(dead_code)] // each test program uses its own part
+#[path = "../support/mod.rs"]
+mod support;
+mod upstream_responses;
+
+use std::time::Duration;
+use support::*;
+
+/// The head of an idempotent request, without its last line end.
+const REQUEST_HEAD: &str =
+    "GET /look?customer=00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: a1\r\n\
+    X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 2.0\r\nX-Quota: units=1,spread=2,first=0\r\n";
+
+/// A gateway that knows these servers from the start, with its discovery and counter.
+fn start_gateway(servers: &[&Server]) -> (Limiter, Discovery, Counter) {
+    let (setup, discovery, counter) = gateway_setup(servers);
+    (setup.start(), discovery, counter)
+}
+
+/// As [`start_gateway`], before the start.
+fn gateway_setup(servers: &[&Server]) -> (Setup, Discovery, Counter) {
+    let known = ready_list(1, servers);
+    let (discovery, counter) = (Discovery::start(known.clone()), Counter::ok());
+    (Setup::new(discovery.address, counter.address, &known), discovery, counter)
+}
+
+/// A complete list in which all these servers are ready.
+fn ready_list(revision: u64, servers: &[&Server]) -> String {
+    let ready = |(index, server): (usize, &&Server)| entry(index, server, "Ready");
+    let entries: Vec<String> = servers.iter().enumerate().map(ready).collect();
+    list(revision, true, &entries)
+}
+
+/// A server's entry in the endpoint list.
+fn entry(index: usize, server: &Server, phase: &str) -> String {
+    member(&format!("s-0000000{}", index + 1), server.address, phase)
+}
+
+/// The statuses of requests that are not idempotent, all of them written before the first response is read,
+/// so that every server gets some.
+fn concurrent_statuses(gateway: &Limiter, count: usize) -> Vec<u16> {
+    let mut clients: Vec<Client> = (0..count).map(|_| gateway.client()).collect();
+    clients.iter_mut().for_each(|client| client.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}"));
+    clients.iter_mut().map(|client| client.read().expect("a response").status()).collect()
+}
+
+/// An idle connection to the server is closed long before its idle timeout.
+fn assert_idle_connection_closed(server: &Server) {
+    let idle = server.closed.recv_timeout(PATIENCE).expect("a closed connection");
+    assert!(idle < Duration::from_secs(6), "an idle connection stayed open for {idle:?}");
+}
+
+fn ok_response(body: &[u8]) -> Vec<u8> {
+    answer("200 OK", "", body)
+}
