--- a/capacity/src/deployment.rs
+++ b/capacity/src/deployment.rs
@@ -1,49 +1,23 @@
-//! A made-up deployment of any size: its settings, servers, customers and traffic.
+//! A synthetic deployment of any size: its settings, servers, tenants and traffic.
 
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg64Mcg;
+use crate::simulation::SeededRng;
 use rate_limiting_gateway::event::{Endpoint, EndpointState, Request};
 use rate_limiting_gateway::ids::{CounterKey, Millis, PlanId, RequestId, ServerId, TenantId};
 use rate_limiting_gateway::settings::{Class, Plan, Settings};
 
-/// Random numbers that are the same in each run.
-pub struct Dice(Pcg64Mcg);
-
-impl Dice {
-    /// From a seed.
-    pub fn new(seed: u64) -> Self {
-        Dice(Pcg64Mcg::seed_from_u64(seed))
-    }
-
-    /// Evenly from 0 to 1.
-    pub fn roll(&mut self) -> f64 {
-        (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
-    }
-
-    /// A whole number below `n`.
-    pub fn below(&mut self, n: usize) -> usize {
-        (self.roll() * n as f64) as usize
-    }
-
-    /// Time to the next of events that come at a rate, ms.
-    pub fn wait(&mut self, a_second: f64) -> Millis {
-        -1000.0 * (1.0 - self.roll()).ln() / a_second
-    }
-}
-
 /// Sizes of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Limiters.
+    /// Gateways.
     pub gateways: usize,
-    /// Servers, all in one list.
+    /// Servers, all in one endpoint list.
     pub servers: usize,
-    /// Customers.
+    /// Tenants.
     pub tenants: usize,
-    /// Requests a second over all limiters.
+    /// Requests a second over all gateways.
     pub rate: f64,
-    /// Limiters that one customer comes in through; 0: all of them.
-    pub gateway_count: usize,
+    /// Gateways through which one tenant's requests come in; 0: all of them.
+    pub gateways_per_tenant: usize,
     /// Zones.
     pub zones: usize,
 }
@@ -51,51 +25,58 @@
 impl Default for Deployment {
     /// The operators' plan for two years.
     fn default() -> Self {
-        let (gateways, servers, tenants) = (530, 5_700, 28_000);
-        Deployment { gateways, servers, tenants, rate: 140_000.0, gateway_count: 0, zones: 6 }
+        Deployment {
+            gateways: 530,
+            servers: 5_700,
+            tenants: 28_000,
+            rate: 140_000.0,
+            gateways_per_tenant: 0,
+            zones: 6,
+        }
     }
 }
 
-/// Rate of the smallest plan, units a second; each next one has four times as much.
-const LEAST_RATE: f64 = 1.0;
-const PLAN_STEP: f64 = 4.0;
+/// Rate of the smallest plan, units a second; each next plan has four times as much.
+const MIN_PLAN_RATE: f64 = 1.0;
+const PLAN_RATE_FACTOR: f64 = 4.0;
 const PLANS: usize = 9;
 /// A plan's burst is what its rate yields in this time, s.
-const BURST: f64 = 2.0;
-/// One customer in so many asks more than its quota.
-const OVER: usize = 10;
-/// Shortest aim, ms, and the deadline.
-const AIM: Millis = 500.0;
+const BURST_SECONDS: f64 = 2.0;
+/// One tenant in so many exceeds its quota.
+const OVER_QUOTA_STRIDE: usize = 10;
+const LATENCY_OBJECTIVE: Millis = 500.0;
 const DEADLINE: Millis = 1500.0;
+/// Servers of one cell.
+const CELL_SIZE: usize = 8;
+/// Tenant ids and home gateways step by this prime, so that neighbours in size are spread out.
+const TENANT_STRIDE: usize = 7919;
 
 impl Deployment {
-    /// The limiters that one customer comes in through.
-    pub fn gateway_count(&self) -> usize {
-        if self.gateway_count == 0 {
+    /// Gateways through which one tenant's requests come in.
+    pub fn gateways_per_tenant(&self) -> usize {
+        if self.gateways_per_tenant == 0 {
             self.gateways
         } else {
-            self.gateway_count
+            self.gateways_per_tenant
         }
     }
 
-    /// Requests a second at one limiter.
-    pub fn share(&self) -> f64 {
+    /// Requests a second at one gateway.
+    pub fn rate_per_gateway(&self) -> f64 {
         self.rate / self.gateways as f64
     }
 
-    /// What each limiter is told at its start.
+    /// Settings of each gateway.
     pub fn settings(&self) -> Settings {
-        let class =
-            Class { latency_objective: AIM, deadline: DEADLINE, priority_weight: 1.0, ..Class::default() };
+        let class = Class {
+            latency_objective: LATENCY_OBJECTIVE,
+            deadline: DEADLINE,
+            priority_weight: 1.0,
+            ..Class::default()
+        };
         let plan = |i: usize| {
-            let rate = LEAST_RATE * PLAN_STEP.powi(i as i32);
-            Plan {
-                rate,
-                burst: BURST * rate,
-                priority_multiplier: 1.0,
-                overage_penalty: 1.0,
-                ..Plan::default()
-            }
+            let rate = MIN_PLAN_RATE * PLAN_RATE_FACTOR.powi(i as i32);
+            Plan { rate, burst: BURST_SECONDS * rate, priority_multiplier: 1.0, ..Plan::default() }
         };
         Settings {
             gateway_count: self.gateways as f64,
@@ -113,73 +94,91 @@
         }
     }
 
-    /// The whole list of servers.
+    /// The complete endpoint list.
     pub fn entries(&self) -> Vec<Endpoint> {
-        (0..self.servers).map(|n| self.entry(n, EndpointState::Ready, 0.0)).collect()
+        (0..self.servers).map(|index| self.entry(index, EndpointState::Ready, 0.0)).collect()
     }
 
-    /// One line of the list.
-    pub fn entry(&self, n: usize, state: EndpointState, started: Millis) -> Endpoint {
-        let (zone, cell) = ((n % self.zones) as u16, (n / 8) as u16);
-        Endpoint { server: ServerId(n as u32 + 1), weight: 1.0, zone, cell, started, state }
+    /// One entry of the endpoint list; `started` is when the server last started, ms.
+    pub fn entry(&self, index: usize, state: EndpointState, started: Millis) -> Endpoint {
+        Endpoint {
+            server: ServerId(index as u32 + 1),
+            weight: 1.0,
+            zone: (index % self.zones) as u16,
+            cell: (index / CELL_SIZE) as u16,
+            started,
+            state,
+        }
     }
 
-    /// The customers by size, and what they ask.
+    /// The tenants by size, and what they request.
     pub fn demand(&self) -> Demand {
-        // Zipf with exponent 1: the n-th largest asks an n-th of the largest.
-        let harmonic: f64 = (1..=self.tenants).map(|n| 1.0 / n as f64).sum();
+        // Zipf with exponent 1: the n-th largest requests an n-th of what the largest does.
+        let harmonic: f64 = (1..=self.tenants).map(|rank| 1.0 / rank as f64).sum();
         let mut sum = 0.0;
-        let mut upto = Vec::with_capacity(self.tenants);
+        let mut cumulative_shares = Vec::with_capacity(self.tenants);
         let mut plans = Vec::with_capacity(self.tenants);
-        for n in 1..=self.tenants {
-            let share = 1.0 / n as f64 / harmonic;
+        for rank in 1..=self.tenants {
+            let share = 1.0 / rank as f64 / harmonic;
             sum += share;
-            upto.push(sum);
-            let steps = (self.rate * share / LEAST_RATE).max(1.0).log(PLAN_STEP).ceil() as usize;
-            // Those that ask too much have the plan below that which they need.
-            let over = usize::from(n % OVER == 0);
-            plans.push(PlanId(steps.saturating_sub(over).min(PLANS - 1)));
+            cumulative_shares.push(sum);
+            plans.push(self.plan_of(rank, share));
+        }
+        Demand {
+            cumulative_shares,
+            plans,
+            gateways_per_tenant: self.gateways_per_tenant(),
+            gateways: self.gateways,
         }
-        Demand { upto, plans, gateway_count: self.gateway_count(), gateways: self.gateways }
+    }
+
+    /// The smallest plan that holds a tenant's share of the traffic, or the one below for those over their quota.
+    fn plan_of(&self, rank: usize, share: f64) -> PlanId {
+        let rate = (self.rate * share / MIN_PLAN_RATE).max(1.0);
+        let sufficient = rate.log(PLAN_RATE_FACTOR).ceil() as usize;
+        let over_quota = usize::from(rank % OVER_QUOTA_STRIDE == 0);
+        PlanId(sufficient.saturating_sub(over_quota).min(PLANS - 1))
     }
 }
 
-/// Who asks, by Zipf's law.
+/// Which tenants' requests come in, by Zipf's law, and at which gateways.
 pub struct Demand {
-    upto: Vec<f64>,
+    cumulative_shares: Vec<f64>,
     plans: Vec<PlanId>,
-    gateway_count: usize,
+    gateways_per_tenant: usize,
     gateways: usize,
 }
 
 impl Demand {
-    /// Whose the next request is.
-    pub fn draw(&self, dice: &mut Dice) -> usize {
-        let roll = dice.roll();
-        self.upto.partition_point(|upto| *upto < roll).min(self.upto.len() - 1)
+    /// Draws the tenant of the next request.
+    pub fn draw(&self, rng: &mut SeededRng) -> usize {
+        let drawn = rng.uniform();
+        let tenant = self.cumulative_shares.partition_point(|share| *share < drawn);
+        tenant.min(self.cumulative_shares.len() - 1)
     }
 
-    /// The limiter that it comes to: any of its customer's set.
-    pub fn gateway(&self, tenant: usize, dice: &mut Dice) -> usize {
-        (tenant.wrapping_mul(7919) + dice.below(self.gateway_count)) % self.gateways
+    /// Draws the gateway that a tenant's request comes to.
+    pub fn gateway(&self, tenant: usize, rng: &mut SeededRng) -> usize {
+        (tenant.wrapping_mul(TENANT_STRIDE) + rng.index(self.gateways_per_tenant)) % self.gateways
     }
 
-    /// A request of a customer.
+    /// A request of a tenant.
     pub fn request(&self, id: u32, tenant: usize) -> Request {
         Request {
             id: RequestId(id),
-            tenant: TenantId(tenant as u64 * 7919 + 1),
+            tenant: TenantId((tenant * TENANT_STRIDE) as u64 + 1),
             plan: self.plans[tenant],
             units: 1.0,
             time_left: DEADLINE,
-            gateway_count: self.gateway_count as f64,
+            gateway_count: self.gateways_per_tenant as f64,
             ..Request::default()
         }
     }
 }
 
-/// Bytes of a call to the counter and of its answer, as they stand on the wire (PROTOCOL, the counter).
-pub fn call_bytes(name: CounterKey, add: f64, ttl: Millis, total: f64) -> usize {
-    let call = format!("bump {:016x} {add} {}\r\n", name.0, ttl as u64);
-    call.len() + format!("ok {total}\r\n").len()
+/// Bytes of a counter call and its reply on the wire; `ttl` in ms.
+pub fn call_bytes(key: CounterKey, add: f64, ttl: Millis, total: f64) -> usize {
+    let call = format!("bump {:016x} {add} {}\r\n", key.0, ttl as u64);
+    let reply = format!("ok {total}\r\n");
+    call.len() + reply.len()
 }
--- a/capacity/src/lib.rs
+++ b/capacity/src/lib.rs
@@ -1,13 +1,17 @@
-//! What the limiter costs at the size of a fleet.
+//! What a gateway costs at the size of a fleet.
 //!
-//! [`policy_cost`] measures one decision module by size, [`memory`] what it keeps, and [`simulated_fleet`] plays a whole fleet
-//! of them on one simulated clock; [`process`] starts real limiters. All time is processor time, which a busy machine stretches less than the clock
-//! on the wall; [`measure`] repeats, takes medians and fits slopes.
+//! [`policy_cost`] measures the decisions of one gateway by size, [`memory`] what it keeps, and [`simulated_fleet`]
+//! simulates all gateways of a fleet on one clock; [`process`] starts real ones. All time is processor time unless
+//! stated otherwise, because a busy machine stretches it less than wall-clock time; [`measure`] repeats, takes medians
+//! and fits slopes.
 
 pub mod deployment;
+pub mod error;
 pub mod measure;
 pub mod memory;
 pub mod policy_cost;
 pub mod process;
 pub mod simulated_fleet;
+#[path = "../../tests/support/simulation.rs"]
+pub mod simulation;
 pub mod stub_peers;
--- a/capacity/src/measure.rs
+++ b/capacity/src/measure.rs
@@ -4,7 +4,7 @@
 
 /// All that was measured at one size.
 pub struct Point {
-    /// The size: so many servers, gateways, customers...
+    /// The size: so many servers, gateways or tenants.
     pub size: f64,
     /// One figure for each repeat.
     pub samples: Vec<f64>,
@@ -22,10 +22,14 @@
         }
     }
 
-    /// The least and the greatest sample.
-    pub fn range(&self) -> (f64, f64) {
-        let fold = |f: fn(f64, f64) -> f64, from| self.samples.iter().copied().fold(from, f);
-        (fold(f64::min, f64::INFINITY), fold(f64::max, f64::NEG_INFINITY))
+    /// The smallest sample; infinite if there is none.
+    pub fn min(&self) -> f64 {
+        self.samples.iter().copied().fold(f64::INFINITY, f64::min)
+    }
+
+    /// The largest sample; negative infinite if there is none.
+    pub fn max(&self) -> f64 {
+        self.samples.iter().copied().fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
@@ -40,16 +44,25 @@
     pub error: f64,
 }
 
-/// The least-squares line through points.
-pub fn fit(points: &[(f64, f64)]) -> Fit {
+/// A point of a straight line.
+#[derive(Clone, Copy, Debug)]
+pub struct FitPoint {
+    /// The size.
+    pub x: f64,
+    /// The figure.
+    pub y: f64,
+}
+
+/// The least-squares line through points; not a number where all have one size.
+pub fn fit(points: &[FitPoint]) -> Fit {
     let n = points.len() as f64;
-    let mean = |f: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>() / n;
-    let (x, y) = (mean(&|p| p.0), mean(&|p| p.1));
-    let gateway_count: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    let slope = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / gateway_count;
-    let base = y - slope * x;
-    let off: f64 = points.iter().map(|p| (p.1 - base - slope * p.0).powi(2)).sum();
-    Fit { base, slope, error: (off / (n - 2.0).max(1.0) / gateway_count).sqrt() }
+    let mean_x = points.iter().map(|p| p.x).sum::<f64>() / n;
+    let mean_y = points.iter().map(|p| p.y).sum::<f64>() / n;
+    let spread: f64 = points.iter().map(|p| (p.x - mean_x).powi(2)).sum();
+    let slope = points.iter().map(|p| (p.x - mean_x) * (p.y - mean_y)).sum::<f64>() / spread;
+    let base = mean_y - slope * mean_x;
+    let residuals: f64 = points.iter().map(|p| (p.y - base - slope * p.x).powi(2)).sum();
+    Fit { base, slope, error: (residuals / (n - 2.0).max(1.0) / spread).sqrt() }
 }
 
 /// One figure over several sizes.
@@ -67,32 +80,44 @@
 impl Series {
     /// The line through the medians.
     pub fn fit(&self) -> Fit {
-        fit(&self.points.iter().map(|p| (p.size, p.median())).collect::<Vec<_>>())
+        let points: Vec<FitPoint> =
+            self.points.iter().map(|p| FitPoint { x: p.size, y: p.median() }).collect();
+        fit(&points)
     }
 }
 
+/// One figure of one size.
+pub struct Fact {
+    /// What was measured.
+    pub what: String,
+    /// The figure.
+    pub value: f64,
+    /// Its unit; empty for a count or a ratio.
+    pub unit: &'static str,
+}
+
 /// All that a command has measured.
 #[derive(Default)]
 pub struct Report {
     /// Figures over sizes.
     pub series: Vec<Series>,
-    /// Figures of one size: what, how much, in which unit.
-    pub facts: Vec<(String, f64, &'static str)>,
+    /// Figures of one size.
+    pub facts: Vec<Fact>,
 }
 
 impl Report {
     /// Adds a figure of one size.
     pub fn fact(&mut self, what: impl Into<String>, value: f64, unit: &'static str) {
-        self.facts.push((what.into(), value, unit));
+        self.facts.push(Fact { what: what.into(), value, unit });
     }
 
     /// Adds a sample to a series, which is begun where it is new.
     pub fn sample(&mut self, what: &str, by: &'static str, unit: &'static str, size: f64, value: f64) {
-        let place = self.series.iter().position(|s| s.what == what && s.by == by).unwrap_or_else(|| {
+        let index = self.series.iter().position(|s| s.what == what && s.by == by).unwrap_or_else(|| {
             self.series.push(Series { what: what.into(), by, unit, points: Vec::new() });
             self.series.len() - 1
         });
-        let points = &mut self.series[place].points;
+        let points = &mut self.series[index].points;
         match points.iter_mut().find(|p| p.size == size) {
             Some(point) => point.samples.push(value),
             None => points.push(Point { size, samples: vec![value] }),
@@ -101,57 +126,60 @@
 
     /// As text for people.
     pub fn text(&self) -> String {
-        let mut out = String::new();
-        for s in &self.series {
-            out += &format!("{}, {} by {}\n", s.what, s.unit, s.by);
-            for p in &s.points {
-                let (least, most) = p.range();
-                let n = p.samples.len();
-                out += &format!(
-                    "  {:>9}: {} ({} to {}, n={n})\n",
-                    p.size,
-                    short(p.median()),
-                    short(least),
-                    short(most)
-                );
-            }
-            let f = s.fit();
-            if s.points.len() > 2 {
-                let (base, slope, error) = (short(f.base), short(f.slope), short(f.error));
-                out += &format!("  slope {slope} ± {error} each, {base} at 0\n");
-            }
-        }
-        for (what, value, unit) in &self.facts {
-            out += &format!("{what}: {} {unit}\n", short(*value));
-        }
-        out
+        let series = self.series.iter().map(Series::text);
+        let facts = self.facts.iter().map(Fact::text);
+        series.chain(facts).collect()
     }
 
-    /// For machines.
+    /// As JSON for programs.
     pub fn json(&self) -> Value {
-        let series: Vec<Value> = self
-            .series
-            .iter()
-            .map(|s| {
-                let points: Vec<Value> = s
-                    .points
-                    .iter()
-                    .map(|p| {
-                        let (min, max) = p.range();
-                        json!({"size": p.size, "median": p.median(), "min": min, "max": max, "samples": p.samples})
-                    })
-                    .collect();
-                let f = s.fit();
-                json!({"what": s.what, "by": s.by, "unit": s.unit, "points": points,
-                       "slope": f.slope, "error": f.error, "base": f.base})
-            })
-            .collect();
-        let facts: Vec<Value> =
-            self.facts.iter().map(|(w, v, u)| json!({"what": w, "value": v, "unit": u})).collect();
+        let series: Vec<Value> = self.series.iter().map(Series::json).collect();
+        let facts: Vec<Value> = self.facts.iter().map(Fact::json).collect();
         json!({"series": series, "facts": facts})
     }
 }
 
+impl Fact {
+    fn text(&self) -> String {
+        format!("{}: {} {}\n", self.what, short(self.value), self.unit)
+    }
+
+    fn json(&self) -> Value {
+        json!({"what": self.what, "value": self.value, "unit": self.unit})
+    }
+}
+
+impl Series {
+    fn text(&self) -> String {
+        let mut text = format!("{}, {} by {}\n", self.what, self.unit, self.by);
+        for point in &self.points {
+            let (median, min, max) = (short(point.median()), short(point.min()), short(point.max()));
+            let samples = point.samples.len();
+            text += &format!("  {:>9}: {median} ({min} to {max}, n={samples})\n", point.size);
+        }
+        if self.points.len() > 2 {
+            let fit = self.fit();
+            let (base, slope, error) = (short(fit.base), short(fit.slope), short(fit.error));
+            text += &format!("  slope {slope} ± {error} each, {base} at 0\n");
+        }
+        text
+    }
+
+    fn json(&self) -> Value {
+        let points: Vec<Value> = self.points.iter().map(Point::json).collect();
+        let fit = self.fit();
+        json!({"what": self.what, "by": self.by, "unit": self.unit, "points": points,
+               "slope": fit.slope, "error": fit.error, "base": fit.base})
+    }
+}
+
+impl Point {
+    fn json(&self) -> Value {
+        json!({"size": self.size, "median": self.median(), "min": self.min(), "max": self.max(),
+               "samples": self.samples})
+    }
+}
+
 /// A figure with four digits.
 fn short(value: f64) -> String {
     let digits = 3 - value.abs().max(1e-6).log10().floor() as i32;
--- /dev/null
+++ b/capacity/src/stub_peers/server.rs
@@ -0,0 +1,54 @@
+//! A server that answers every request with a few bytes.
+
+use super::{listen, read_head};
+use std::io::{BufReader, Write};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// How often a connection looks whether responses are still held back.
+const HOLD_POLL: Duration = Duration::from_millis(5);
+
+/// A server that answers every request at once, or once it may.
+pub struct ServerStub {
+    /// Where it listens.
+    pub address: SocketAddr,
+    requests: Arc<AtomicUsize>,
+    held: Arc<AtomicBool>,
+}
+
+impl ServerStub {
+    /// Starts a server.
+    ///
+    /// # Errors
+    /// If no port is free.
+    pub fn start() -> std::io::Result<ServerStub> {
+        let requests = Arc::new(AtomicUsize::new(0));
+        let held = Arc::new(AtomicBool::new(false));
+        let (received, holding) = (requests.clone(), held.clone());
+        let address = listen(move |mut stream| {
+            stream.set_nodelay(true)?;
+            let mut reader = BufReader::new(stream.try_clone()?);
+            while read_head(&mut reader).is_some() {
+                received.fetch_add(1, Ordering::SeqCst);
+                while holding.load(Ordering::SeqCst) {
+                    std::thread::sleep(HOLD_POLL);
+                }
+                stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")?;
+            }
+            Ok(())
+        })?;
+        Ok(ServerStub { address, requests, held })
+    }
+
+    /// Requests that have come in.
+    pub fn requests(&self) -> usize {
+        self.requests.load(Ordering::SeqCst)
+    }
+
+    /// Holds back all responses, or releases them.
+    pub fn hold_responses(&self, hold: bool) {
+        self.held.store(hold, Ordering::SeqCst);
+    }
+}
--- a/capacity/tests/cost_growth.rs
+++ b/capacity/tests/cost_growth.rs
@@ -1,5 +1,5 @@
 //! Work that is counted and must not grow with the fleet: calls made and their bytes, attempts, memory taken from
-//! the allocator. No time is measured here; `scale module` does that.
+//! the allocator. No time is measured here; `capacity policy-cost` does that.
 
 use gateway_capacity::deployment::Deployment;
 use gateway_capacity::policy_cost::{Bench, Costs};
@@ -14,13 +14,14 @@
 
 /// Traffic of one limiter among so many, before as many servers as the plan has for them.
 fn costs(gateways: usize, servers: usize) -> Costs {
-    bench(gateways, servers).play(2.0)
+    bench(gateways, servers).run(2.0)
 }
 
 fn bench(gateways: usize, servers: usize) -> Bench {
     let plan = Deployment::default();
-    let (rate, gateway_count) = (plan.share() * gateways as f64, plan.gateways);
-    let deployment = Deployment { gateways, servers, rate, gateway_count, tenants: 1000, ..plan };
+    let rate = plan.rate_per_gateway() * gateways as f64;
+    let gateways_per_tenant = plan.gateways;
+    let deployment = Deployment { gateways, servers, rate, gateways_per_tenant, tenants: 1000, ..plan };
     Bench::new(&deployment, 1)
 }
 
@@ -54,9 +55,9 @@
     // A copy of the list, or of a part of it that grows, shows here.
     let taken = |gateways, servers| {
         let mut bench = bench(gateways, servers);
-        bench.play(1.0);
+        bench.run(1.0);
         let region = Region::new(ALLOCATOR);
-        let costs = bench.play(2.0);
+        let costs = bench.run(2.0);
         region.change().bytes_allocated as f64 / costs.request.events as f64
     };
     let (small, large) = (taken(19, 200), taken(190, 2_000));
