--- /dev/null
+++ b/tests/slow_start/event.rs
@@ -0,0 +1,47 @@
+//! Events of the simulation, in the order in which they were scheduled.
+
+use rate_limiting_gateway::event::Outcome;
+use std::cmp::Ordering;
+
+/// Something that happens in the simulation.
+#[derive(Clone, Copy)]
+pub enum FleetEvent {
+    /// A request comes in.
+    Arrival,
+    /// A gateway's timer fires.
+    Timer { gateway: usize, incarnation: u32 },
+    /// A gateway is notified of the servers that have started.
+    Notified { gateway: usize },
+    /// An attempt ends, unless it has ended before.
+    AttemptEnded { number: u64, outcome: Outcome },
+    /// The servers that will start go down.
+    ServersStop,
+    /// They start.
+    ServersStart,
+}
+
+/// An event with its place in the order of scheduling, by which events of one microsecond are ordered.
+pub struct SequencedEvent {
+    pub sequence: u64,
+    pub event: FleetEvent,
+}
+
+impl PartialEq for SequencedEvent {
+    fn eq(&self, other: &Self) -> bool {
+        self.sequence == other.sequence
+    }
+}
+
+impl Eq for SequencedEvent {}
+
+impl PartialOrd for SequencedEvent {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Ord for SequencedEvent {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.sequence.cmp(&other.sequence)
+    }
+}
--- /dev/null
+++ b/tests/slow_start/fleet.rs
@@ -0,0 +1,432 @@
+//! Gateways and servers on one simulated clock, some of the servers starting together.
+
+use crate::event::{FleetEvent, SequencedEvent};
+use crate::outcome::SlowStartOutcome;
+use crate::server::{ReceivedRequest, SimulatedServer, CORES, MEAN_WORK};
+use crate::simulation::{EventQueue, SeededRng};
+use crate::world::{GatewayRestart, World, DOWNTIME, START};
+use rate_limiting_gateway::action::Action;
+use rate_limiting_gateway::event::{Endpoint, EndpointUpdate, Event, Outcome, Request};
+use rate_limiting_gateway::ids::{ClassId, Millis, RequestId, ServerId, TenantId};
+use rate_limiting_gateway::policy::Gateway;
+use rate_limiting_gateway::settings::Settings;
+use std::collections::{HashMap, VecDeque};
+
+/// A burst of traffic begins so long after the servers' start, ms.
+const BURST_AFTER: Millis = 2500.0;
+/// Tenants, whose requests come in turn.
+const TENANTS: u64 = 5000;
+/// Classes of requests, in turn.
+const CLASSES: [usize; 4] = [0, 0, 1, 2];
+/// The time after which a request's client gives up, ms.
+const TIME_LEFT: Millis = 2000.0;
+/// A request counts as served within this, ms.
+const SERVED_WITHIN: Millis = 800.0;
+/// Times after which a failed connection, another fault, a rejection and a response reach the gateway, ms.
+const CONNECT_FAILURE_LATENCY: Millis = 1.0;
+const FAULT_LATENCY: Millis = 2.0;
+const REJECTION_LATENCY: Millis = 1.0;
+const RESPONSE_LATENCY: Millis = 0.5;
+/// The ways in which attempts fail, alike often.
+const FAULTS: [Outcome; 5] =
+    [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset, Outcome::TimedOut];
+
+/// A request of one incarnation of a gateway.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct RequestKey {
+    gateway: usize,
+    incarnation: u32,
+    id: RequestId,
+}
+
+/// An attempt of a request.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct AttemptKey {
+    request: RequestKey,
+    attempt: u8,
+}
+
+/// An attempt in flight.
+struct InFlightAttempt {
+    key: AttemptKey,
+    server: usize,
+    sent_at: Millis,
+}
+
+/// An event for one gateway.
+struct GatewayEvent {
+    gateway: usize,
+    event: Event,
+}
+
+/// What is drawn for an attempt when it begins.
+struct DrawnAttempt {
+    /// Work of the request as a multiple of the mean.
+    work: f64,
+    fault: Option<Outcome>,
+}
+
+/// Whether the starting servers are up.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ServerPhase {
+    BeforeStop,
+    Down,
+    Started,
+}
+
+pub struct Fleet {
+    world: World,
+    settings: Settings,
+    rng: SeededRng,
+    gateways: Vec<Gateway>,
+    /// How often each gateway has restarted.
+    incarnations: Vec<u32>,
+    /// Whether each gateway has been notified of the start.
+    notified: Vec<bool>,
+    /// Cumulative shares of the traffic.
+    traffic: Vec<f64>,
+    servers: Vec<SimulatedServer>,
+    phase: ServerPhase,
+    queue: EventQueue<SequencedEvent>,
+    next_sequence: u64,
+    next_attempt: u64,
+    in_flight: HashMap<u64, InFlightAttempt>,
+    attempt_numbers: HashMap<AttemptKey, u64>,
+    /// Attempts that each request has had.
+    attempts: HashMap<RequestKey, u8>,
+    arrived: HashMap<RequestKey, Millis>,
+    requests: u32,
+    served: u32,
+}
+
+impl Fleet {
+    pub fn new(world: &World, seed: u64) -> Self {
+        let mut rng = SeededRng::new(seed.wrapping_mul(0x9e37_79b9) ^ 0x5eed);
+        let settings = world.settings();
+        let traffic = cumulative_traffic(world.gateways, &mut rng);
+        let server = |_| SimulatedServer::new(world.size_spread.powf(2.0 * rng.uniform() - 1.0));
+        let servers = (0..world.servers).map(server).collect();
+        let gateway = |index: usize| Gateway::new(settings.clone(), seed << 20 | index as u64);
+        Fleet {
+            gateways: (0..world.gateways).map(gateway).collect(),
+            incarnations: vec![0; world.gateways],
+            notified: vec![false; world.gateways],
+            world: world.clone(),
+            settings,
+            rng,
+            traffic,
+            servers,
+            phase: ServerPhase::BeforeStop,
+            queue: EventQueue::new(),
+            next_sequence: 0,
+            next_attempt: 0,
+            in_flight: HashMap::new(),
+            attempt_numbers: HashMap::new(),
+            attempts: HashMap::new(),
+            arrived: HashMap::new(),
+            requests: 0,
+            served: 0,
+        }
+    }
+
+    /// Runs the simulation to its end.
+    pub fn run(mut self) -> SlowStartOutcome {
+        for gateway in 0..self.world.gateways {
+            self.send_list(0.0, gateway, EndpointUpdate::Complete, false);
+            let notified_at = START + self.world.notified_within * (0.1 + 0.9 * self.rng.uniform());
+            self.schedule(notified_at, FleetEvent::Notified { gateway });
+        }
+        self.schedule(0.0, FleetEvent::Arrival);
+        self.schedule(START - DOWNTIME, FleetEvent::ServersStop);
+        self.schedule(START, FleetEvent::ServersStart);
+        let mean_interarrival = self.mean_interarrival();
+        while let Some((now, SequencedEvent { event, .. })) = self.queue.pop() {
+            if now > self.world.end() {
+                break;
+            }
+            self.apply(now, event, mean_interarrival);
+        }
+        self.outcome()
+    }
+
+    fn schedule(&mut self, at: Millis, event: FleetEvent) {
+        self.next_sequence += 1;
+        self.queue.schedule(at, SequencedEvent { sequence: self.next_sequence, event });
+    }
+
+    /// Mean time between requests outside of bursts, ms.
+    fn mean_interarrival(&self) -> Millis {
+        let sizes: f64 = self.servers.iter().map(|server| server.size).sum();
+        let capacity = sizes * CORES as f64 / MEAN_WORK;
+        1.0 / (capacity * self.world.load)
+    }
+
+    fn apply(&mut self, now: Millis, event: FleetEvent, mean_interarrival: Millis) {
+        match event {
+            FleetEvent::Arrival => self.arrival(now, mean_interarrival),
+            FleetEvent::Timer { gateway, incarnation } => {
+                if incarnation == self.incarnations[gateway] {
+                    self.handle(now, gateway, Event::Timer(0));
+                }
+            }
+            FleetEvent::Notified { gateway } => {
+                self.send_list(now, gateway, EndpointUpdate::Incremental, true);
+            }
+            FleetEvent::AttemptEnded { number, outcome } => self.end_and_notify(now, number, outcome),
+            FleetEvent::ServersStop => self.stop_servers(now),
+            FleetEvent::ServersStart => self.start_servers(now),
+        }
+    }
+
+    fn arrival(&mut self, now: Millis, mean_interarrival: Millis) {
+        let burst = if now > START + BURST_AFTER { self.world.burst } else { 1.0 };
+        let wait = self.rng.exponential(mean_interarrival / burst);
+        self.schedule(now + wait, FleetEvent::Arrival);
+        let drawn = self.rng.uniform();
+        let gateway = self.traffic.partition_point(|share| *share < drawn).min(self.world.gateways - 1);
+        self.requests += 1;
+        let id = RequestId(self.requests);
+        self.arrived.insert(self.request_key(gateway, id), now);
+        let request = Request {
+            id,
+            tenant: TenantId(u64::from(self.requests) % TENANTS),
+            class: ClassId(CLASSES[self.requests as usize % CLASSES.len()]),
+            units: 1.0,
+            time_left: TIME_LEFT,
+            gateway_count: self.world.gateways as f64,
+            ..Request::default()
+        };
+        self.handle(now, gateway, Event::Request(request));
+    }
+
+    fn request_key(&self, gateway: usize, id: RequestId) -> RequestKey {
+        RequestKey { gateway, incarnation: self.incarnations[gateway], id }
+    }
+
+    /// The servers that will start lose their connections, if the list names them at all.
+    fn stop_servers(&mut self, now: Millis) {
+        if self.world.known_before {
+            self.phase = ServerPhase::Down;
+        }
+        let is_lost = |attempt: &InFlightAttempt| self.world.is_starting(attempt.server);
+        let mut lost: Vec<u64> = self
+            .in_flight
+            .iter()
+            .filter(|(_, attempt)| is_lost(attempt))
+            .map(|(number, _)| *number)
+            .collect();
+        lost.sort_unstable();
+        for number in lost {
+            self.end_and_notify(now, number, Outcome::Reset);
+        }
+    }
+
+    fn start_servers(&mut self, now: Millis) {
+        self.phase = ServerPhase::Started;
+        for server in &mut self.servers[..self.world.starting] {
+            server.restart(now);
+        }
+        let (update, current) = match self.world.gateway_restart {
+            GatewayRestart::None => return,
+            GatewayRestart::WithCompleteList => (EndpointUpdate::Complete, true),
+            GatewayRestart::WithCachedList => (EndpointUpdate::Cached, false),
+        };
+        for gateway in 0..self.world.gateways {
+            self.incarnations[gateway] += 1;
+            self.gateways[gateway] = Gateway::new(self.settings.clone(), self.rng.next_seed());
+            self.send_list(now, gateway, update, current);
+        }
+    }
+
+    /// Sends a gateway the list as it is since the start, or as it was before.
+    fn send_list(&mut self, now: Millis, gateway: usize, update: EndpointUpdate, current: bool) {
+        self.notified[gateway] |= current;
+        let mut entries = self.entries(current);
+        if update == EndpointUpdate::Incremental {
+            entries.truncate(self.world.starting);
+        }
+        self.handle(now, gateway, Event::EndpointsChanged { update, entries });
+    }
+
+    fn entries(&self, current: bool) -> Vec<Endpoint> {
+        let world = &self.world;
+        let first = if current || world.known_before { 0 } else { world.starting };
+        let entry = |server: usize| Endpoint {
+            server: ServerId(server as u32),
+            weight: self.servers[server].size,
+            zone: (server * world.zones / world.servers) as u16,
+            started: if current && world.is_starting(server) { START } else { 0.0 },
+            ..Endpoint::default()
+        };
+        (first..world.servers).map(entry).collect()
+    }
+
+    /// Feeds an event to a gateway, and the ends of attempts that it cancels.
+    fn handle(&mut self, now: Millis, gateway: usize, event: Event) {
+        let mut pending = VecDeque::from([event]);
+        while let Some(event) = pending.pop_front() {
+            let mut actions = Vec::new();
+            self.gateways[gateway].handle(now, event, &mut actions);
+            for action in actions {
+                pending.extend(self.execute(now, gateway, action));
+            }
+        }
+    }
+
+    /// Executes an action; the event of an attempt that it ends at once.
+    fn execute(&mut self, now: Millis, gateway: usize, action: Action) -> Option<Event> {
+        match action {
+            Action::Forward { id, server, timeout } => {
+                let request = self.request_key(gateway, id);
+                self.begin_attempt(now, request, server.0 as usize, timeout);
+                None
+            }
+            Action::Cancel { id, attempt } => {
+                let key = AttemptKey { request: self.request_key(gateway, id), attempt };
+                let number = *self.attempt_numbers.get(&key)?;
+                self.end_attempt(now, number, Outcome::Cancelled).map(|ended| ended.event)
+            }
+            Action::Timer { after, .. } => {
+                let incarnation = self.incarnations[gateway];
+                self.schedule(now + after, FleetEvent::Timer { gateway, incarnation });
+                None
+            }
+            _ => None,
+        }
+    }
+
+    fn begin_attempt(&mut self, now: Millis, request: RequestKey, server: usize, timeout: Millis) {
+        let number = self.register_attempt(now, request, server);
+        let DrawnAttempt { work, fault } = self.draw_attempt();
+        if !self.is_reachable(now, server) || fault == Some(Outcome::ConnectFailed) {
+            let outcome = Outcome::ConnectFailed;
+            return self
+                .schedule(now + CONNECT_FAILURE_LATENCY, FleetEvent::AttemptEnded { number, outcome });
+        }
+        if self.world.is_starting(server) && self.phase == ServerPhase::Started {
+            let gateway_notified = self.notified[request.gateway];
+            self.servers[server].received.push(ReceivedRequest { at: now, work, gateway_notified });
+        }
+        match fault {
+            Some(Outcome::TimedOut) | None => {}
+            Some(outcome) => {
+                return self.schedule(now + FAULT_LATENCY, FleetEvent::AttemptEnded { number, outcome });
+            }
+        }
+        let timed_out = FleetEvent::AttemptEnded { number, outcome: Outcome::TimedOut };
+        self.schedule(now + timeout, timed_out);
+        if fault.is_none() {
+            self.serve(now, number, server, work);
+        }
+    }
+
+    fn register_attempt(&mut self, now: Millis, request: RequestKey, server: usize) -> u64 {
+        let attempts = self.attempts.entry(request).or_default();
+        let key = AttemptKey { request, attempt: *attempts };
+        *attempts += 1;
+        self.next_attempt += 1;
+        let number = self.next_attempt;
+        self.in_flight.insert(number, InFlightAttempt { key, server, sent_at: now });
+        self.attempt_numbers.insert(key, number);
+        number
+    }
+
+    fn draw_attempt(&mut self) -> DrawnAttempt {
+        let work = self.rng.exponential(1.0);
+        let drawn = self.rng.uniform();
+        let fault_rate = self.world.fault_rate;
+        let fault = if drawn < fault_rate {
+            FAULTS.get((drawn / fault_rate * FAULTS.len() as f64) as usize).copied()
+        } else {
+            None
+        };
+        DrawnAttempt { work, fault }
+    }
+
+    fn is_reachable(&self, now: Millis, server: usize) -> bool {
+        if self.world.is_starting(server) {
+            self.phase != ServerPhase::Down
+        } else {
+            !self.world.warm_servers_are_lost(now)
+        }
+    }
+
+    fn serve(&mut self, now: Millis, number: u64, server: usize, work: f64) {
+        let speed = self.servers[server].size * self.warm_fraction(server, now);
+        let (at, outcome) = match self.servers[server].enqueue(now, work, speed) {
+            Some(done) => (done + RESPONSE_LATENCY, Outcome::Ok),
+            None => (now + REJECTION_LATENCY, Outcome::Rejected),
+        };
+        self.schedule(at, FleetEvent::AttemptEnded { number, outcome });
+    }
+
+    /// Ends an attempt that is in flight, unless its gateway has restarted since.
+    fn end_attempt(&mut self, now: Millis, number: u64, outcome: Outcome) -> Option<GatewayEvent> {
+        let InFlightAttempt { key, server, sent_at } = self.in_flight.remove(&number)?;
+        let RequestKey { gateway, incarnation, id } = key.request;
+        if incarnation != self.incarnations[gateway] {
+            return None;
+        }
+        let served = outcome == Outcome::Ok;
+        if served && now - self.arrived[&key.request] <= SERVED_WITHIN {
+            self.served += 1;
+        }
+        let event = Event::AttemptEnded {
+            id,
+            attempt: key.attempt,
+            server: ServerId(server as u32),
+            outcome,
+            complete: served || outcome == Outcome::Cancelled,
+            elapsed: now - sent_at,
+        };
+        Some(GatewayEvent { gateway, event })
+    }
+
+    fn end_and_notify(&mut self, now: Millis, number: u64, outcome: Outcome) {
+        if let Some(GatewayEvent { gateway, event }) = self.end_attempt(now, number, outcome) {
+            self.handle(now, gateway, event);
+        }
+    }
+
+    /// The share of its capacity that a server has.
+    fn warm_fraction(&self, server: usize, now: Millis) -> f64 {
+        if !self.world.is_starting(server) || now < START - DOWNTIME {
+            return 1.0;
+        }
+        let warmed = ((now - START) / self.settings.slow_start_window).clamp(0.0, 1.0);
+        let at_start = self.settings.slow_start_capacity;
+        at_start + (1.0 - at_start) * warmed
+    }
+
+    /// Requests of mean work that a server can do in a millisecond.
+    fn capacity(&self, server: usize, now: Millis) -> f64 {
+        self.servers[server].size * CORES as f64 / MEAN_WORK * self.warm_fraction(server, now)
+    }
+
+    fn outcome(&self) -> SlowStartOutcome {
+        let served = f64::from(self.served) / f64::from(self.requests);
+        let mut outcome = SlowStartOutcome { served, ..SlowStartOutcome::default() };
+        let mut received = 0.0;
+        let mut capacity = 0.0;
+        for (index, server) in self.servers[..self.world.starting].iter().enumerate() {
+            let at_both_ends = self.capacity(index, START) + self.capacity(index, self.world.end());
+            capacity += self.world.duration * at_both_ends / 2.0;
+            received += server.received.len() as f64;
+            outcome.add_windows(&self.world, server, &|at| self.capacity(index, at));
+        }
+        outcome.share = received / capacity;
+        outcome
+    }
+}
+
+/// Cumulative shares of the traffic: some gateways get several times what others do.
+fn cumulative_traffic(gateways: usize, rng: &mut SeededRng) -> Vec<f64> {
+    let mut sum = 0.0;
+    let mut traffic = Vec::new();
+    for _ in 0..gateways {
+        sum += 0.3 + rng.exponential(0.7).min(3.0);
+        traffic.push(sum);
+    }
+    traffic.iter_mut().for_each(|share| *share /= sum);
+    traffic
+}
