--- /dev/null
+++ b/tests/policy/endpoints.rs
@@ -0,0 +1,117 @@
+//! Which servers get requests: draining, starting and failing ones, and how many attempts are in flight.
+
+use crate::rig::{large_fleet_settings, settings, Received, Rig};
+use crate::simulation::{attempt_ended, complete_list, incremental_list, ready_endpoint};
+use rate_limiting_gateway::event::{Endpoint, EndpointState, Outcome, Request};
+use rate_limiting_gateway::ids::{ServerId, TenantId};
+use rate_limiting_gateway::settings::Settings;
+
+/// A gateway of a large fleet that is not limited by its quota.
+fn gateway_of_large_fleet(seed: u64, servers: u32) -> Rig {
+    let settings = Settings { counter: false, ..large_fleet_settings(1000.0, 3000.0) };
+    Rig::with_complete_list(settings, seed, servers)
+}
+
+fn large_fleet_request() -> Request {
+    Request { tenant: TenantId(1), gateway_count: 400.0, ..Request::default() }
+}
+
+#[test]
+fn a_draining_server_gets_no_more_requests() {
+    let mut rig = Rig::new(settings(), 2);
+    let draining = Endpoint { state: EndpointState::Draining, ..ready_endpoint(1) };
+    rig.handle(500.0, incremental_list(vec![draining]));
+    for step in 0..8 {
+        let actions = rig.request(1000.0 + f64::from(step)).actions;
+        assert_ne!(actions.forwarded_to(), Some(ServerId(1)));
+    }
+}
+
+#[test]
+fn a_starting_server_gets_few_requests_in_its_first_second() {
+    let mut rig = Rig::new(settings(), 0);
+    let starting = Endpoint { started: 1000.0, ..ready_endpoint(1) };
+    rig.handle(1000.0, complete_list(vec![starting, ready_endpoint(2), ready_endpoint(3)]));
+    let mut to_starting = 0;
+    for step in 0..60 {
+        let now = 1000.0 + f64::from(step) * 15.0;
+        let request = Request { tenant: TenantId(step as u64), gateway_count: 2.0, ..Request::default() };
+        let Received { id, actions } = rig.request_like(now, request);
+        let server = actions.forwarded_to().expect("forwarded");
+        to_starting += usize::from(server == ServerId(1));
+        rig.end_attempt(now + 1.0, id, server, Outcome::Ok);
+    }
+    assert!(to_starting <= 8, "{to_starting} of 60 in the first second");
+}
+
+/// Found on an incident: responses were slow for another reason than the gateway's own traffic, and its concurrency
+/// limit fell until it sent next to nothing.
+#[test]
+fn a_gateway_with_slow_servers_keeps_two_attempts_in_flight_for_each() {
+    let mut rig = Rig::new(Settings { gateway_count: 1.0, ..settings() }, 6);
+    let request_of = |tenant| Request { tenant: TenantId(tenant), gateway_count: 2.0, ..Request::default() };
+    for step in 0..400 {
+        let now = 1000.0 + step as f64 * 10.0;
+        let Received { id, actions } = rig.request_like(now, request_of(step));
+        if let Some(server) = actions.forwarded_to() {
+            rig.end_attempt(now + 450.0, id, server, Outcome::Ok);
+        }
+    }
+    let forwarded =
+        (1000..1040).filter(|tenant| rig.request_like(9000.0, request_of(*tenant)).actions.is_forwarded());
+    let in_flight = forwarded.count();
+    assert!((12..40).contains(&in_flight), "{in_flight} in flight");
+}
+
+#[test]
+fn many_gateways_together_keep_less_than_one_attempt_each_in_flight_when_responses_are_slow() {
+    const RESPONSE_TIME: f64 = 480.0;
+    let mut rig = gateway_of_large_fleet(5, 100);
+    let mut last_forwarded = 0;
+    for second in 0..100 {
+        let now = 1000.0 * f64::from(second);
+        let Received { id, actions } = rig.request_like(now, large_fleet_request());
+        let Some(server) = actions.forwarded_to() else { continue };
+        last_forwarded = second;
+        rig.handle(now + RESPONSE_TIME, attempt_ended(id, 0, server, Outcome::Ok, RESPONSE_TIME));
+        // Eight attempts a server over 500 gateways are more than one each at first, two are not.
+        if second > 80 {
+            let next = rig.request_like(now + RESPONSE_TIME + 20.0, large_fleet_request());
+            assert!(!next.actions.is_forwarded(), "the gateway rests after an attempt");
+        }
+    }
+    assert!(last_forwarded > 80, "it goes on sending, last at {last_forwarded} s");
+}
+
+#[test]
+fn a_server_that_fails_quickly_is_ejected_at_once_where_servers_are_seen_rarely() {
+    for outcome in [Outcome::ConnectFailed, Outcome::Reset, Outcome::Error] {
+        let mut rig = gateway_of_large_fleet(5, 100);
+        let Received { id, actions } = rig.request_like(1000.0, large_fleet_request());
+        let failing = actions.forwarded_to().expect("forwarded");
+        rig.end_attempt(1003.0, id, failing, outcome);
+        for step in 0..20 {
+            let next = rig.request_like(1100.0 + 50.0 * f64::from(step), large_fleet_request());
+            assert_ne!(next.actions.forwarded_to(), Some(failing), "{outcome:?}");
+        }
+    }
+}
+
+/// Found on a day with an outlier: each gateway met it every few seconds only, and took long to see three failures.
+#[test]
+fn a_hundred_gateways_send_a_failing_server_at_most_one_request_each() {
+    let mut failed = 0;
+    for seed in 0..100 {
+        let mut rig = gateway_of_large_fleet(seed, 60);
+        for step in 0..50 {
+            let now = 1000.0 + 50.0 * f64::from(step);
+            let Received { id, actions } = rig.request_like(now, large_fleet_request());
+            let Some(server) = actions.forwarded_to() else { continue };
+            let failing = server.0 % 10 == 0;
+            failed += usize::from(failing);
+            rig.end_attempt(now + 10.0, id, server, if failing { Outcome::Error } else { Outcome::Ok });
+        }
+    }
+    // Six of sixty fail, so a gateway meets about one of them among its eight.
+    assert!(failed <= 200, "{failed} of 5000 requests met a failing server");
+}
