--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -1,5 +1,5 @@
-//! What the limiter holds returns to its level: descriptors, connections to the counter and open names, after
-//! bursts of clients that leave, of clients that send nonsense, and of answers that cannot be used.
+//! What the limiter holds returns to its level: descriptors, connections to the counter and correlation ids in flight,
+//! after bursts of clients that disconnect, of clients that send nonsense, and of responses that cannot be used.
 
 #[allow(dead_code)] // each file of tests uses its own part
 mod support;
@@ -9,7 +9,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use support::*;
+use support::{
+    answer, around, eventually, list, member, often, Act, Client, Counter, Discovery, Gate, Limiter, Message,
+    Server, Setup,
+};
 
 /// Descriptors that the limiter holds.
 fn descriptors(limiter: &Limiter) -> usize {
@@ -24,14 +27,12 @@
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
 }
 
+/// Sixty clients connect at once to a limiter that may hold eight. None of them may be lost, and the descriptors may not
+/// go beyond the bound meanwhile.
 #[test]
-fn a_burst_of_connections_does_not_pass_the_bound_and_each_is_served_in_its_turn() {
+fn a_burst_of_connections_stays_within_the_bound_and_each_is_served_in_its_turn() {
     let gate = Gate::default();
-    let there = gate.clone();
-    let server = Server::start(move |_| {
-        there.wait();
-        Act::Write(answer("200 OK", "", b""))
-    });
+    let server = gated_server(&gate);
     let (mut setup, _discovery, _counter) = around(&often(&server));
     // Eight clients and eight connections to servers, the least that is set.
     setup.sockets = 0;
@@ -40,172 +41,232 @@
     // All stand in the queue before the first is accepted.
     limiter.signal("-STOP");
     let mut clients: Vec<Client> = (0..60).map(|_| limiter.client()).collect();
-    clients.iter_mut().for_each(|c| c.send("POST", "long", "X-Time-Left: 20\r\n", b"{}"));
+    clients.iter_mut().for_each(|client| client.send("POST", "long", "X-Time-Left: 20\r\n", b"{}"));
     limiter.signal("-CONT");
     eventually("the first attempts", || server.count() >= 8);
     let held = descriptors(&limiter);
     assert!(held <= before + 8 + 8, "{held} descriptors, {before} before");
     gate.open();
     for client in &mut clients {
-        assert_eq!(client.read().map(|m| m.status()), Some(200));
+        assert_eq!(client.read().map(|response| response.status()), Some(200));
     }
 }
 
+/// A server that answers once the gate is open.
+fn gated_server(gate: &Gate) -> Server {
+    let gate = gate.clone();
+    Server::start(move |_| {
+        gate.wait();
+        Act::Write(answer("200 OK", "", b""))
+    })
+}
+
+/// The most descriptors of a limiter at rest: its own, and connections to peers that it keeps.
+const DESCRIPTORS_AT_REST: usize = 30 + 24;
+/// The most that memory may grow after the first round, kB.
+const MAX_MEMORY_GROWTH: usize = 4096;
+/// Connections to the counter.
+const COUNTER_CONNECTIONS: usize = 4;
+
+/// For four rounds clients disconnect, reset and send nonsense, and servers answer with what is no response. After each
+/// round the descriptors have to come back to their level, and after the last one the memory.
 #[test]
-fn what_leaving_and_bad_clients_and_spoilt_answers_took_is_given_back() {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let there = asked.clone();
-    let endless = ["HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", &"x".repeat(200_000)].concat();
-    let server = Server::start(move |m| {
-        if !m.start.contains("/once") {
-            return Act::Write(answer("200 OK", "", b"good"));
-        }
-        match there.fetch_add(1, Ordering::SeqCst) % 4 {
-            0 => Act::Silence,
-            1 => Act::Write(b"noise without end of a line".to_vec()),
-            2 => Act::Write(endless.clone().into_bytes()),
-            _ => Act::Close(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
-        }
-    });
+fn disconnected_and_invalid_clients_and_unusable_responses_leave_nothing_behind() {
+    let server = server_with_unusable_responses();
     let (mut setup, _discovery, counter) = around(&often(&server));
     setup.sockets = 400;
     let limiter = setup.start();
     assert_eq!(limiter.client().look().status(), 200);
-    eventually("connections to the counter", || counter.connections.load(Ordering::SeqCst) >= 4);
-    let mut levels = Vec::new();
+    let counter_connections = || counter.connections.load(Ordering::SeqCst);
+    eventually("connections to the counter", || counter_connections() >= COUNTER_CONNECTIONS);
+    let mut memory_levels = Vec::new();
     for _ in 0..4 {
-        for i in 0..60 {
-            let mut client = limiter.client();
-            match i % 4 {
-                // Leaves with its request open, by a close or a reset.
-                0 => client.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}"),
-                1 => {
-                    client.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}");
-                    SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("linger");
-                }
-                2 => _ = client.stream.write_all(&[b'x'; 30_000]),
-                // Half a request.
-                _ => _ = client.stream.write_all(b"POST /once HTTP/1.1\r\nContent-Length: 100\r\n\r\nhalf"),
-            }
-        }
-        // Waits for each to be answered, spoilt as the answers are.
+        (0..60).for_each(|kind| misbehave(limiter.client(), kind));
+        // Waits for each to be answered, unusable as the server's responses are.
         for _ in 0..8 {
             assert_eq!(limiter.client().once("0.3").status() / 100, 5);
         }
-        // An open name comes free however its client left: the same one may be used again.
-        let named = "GET /look?customer=00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: same\r\n\
-             X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 1.9\r\nX-Quota: units=1,spread=2,first=0\r\n\r\n";
-        drop(limiter.client().stream.write_all(named.as_bytes()));
-        eventually("the name is free", || {
-            limiter.client().raw(named.as_bytes()).is_some_and(|m| m.status() == 200)
-        });
-        let most = 30 + 24;
-        eventually("descriptors at their level", || descriptors(&limiter) <= most);
-        levels.push(memory(&limiter));
+        assert_correlation_id_is_released(&limiter);
+        eventually("descriptors at their level", || descriptors(&limiter) <= DESCRIPTORS_AT_REST);
+        memory_levels.push(memory(&limiter));
     }
     // The first round warms up buffers; later ones add nothing.
-    let (first, last) = (levels[0], levels[levels.len() - 1]);
-    assert!(last < first + 4096, "memory grows: {levels:?} kB");
-    assert!(counter.connections.load(Ordering::SeqCst) <= 4, "connections to the counter were replaced");
+    let (first, last) = (memory_levels[0], memory_levels[memory_levels.len() - 1]);
+    assert!(last < first + MAX_MEMORY_GROWTH, "memory grows: {memory_levels:?} kB");
+    assert!(counter_connections() <= COUNTER_CONNECTIONS, "connections to the counter were replaced");
     assert_eq!(limiter.client().look().status(), 200);
 }
 
-/// The smallest limit, on the platform's word and on the process's own.
-const SMALLEST: usize = 256;
-
-/// A limiter at the smallest limit whose discovery is down, and a second agent and counter to move to: the agent
-/// is silent too, and knows `next` only.
-fn at_the_smallest(server: &Server, next: &Server) -> (Limiter, Setup, [Discovery; 2], [Counter; 2]) {
-    let members = |server: &Server| -> Vec<String> {
-        (10..70).map(|i| member(&format!("s-000000{i}"), server.address, "Ready")).collect()
-    };
-    let (mut setup, first, counter) = around(&members(server));
-    setup.sockets = SMALLEST;
-    setup.descriptors = Some(SMALLEST);
-    let limiter = setup.start();
-    eventually("a watch", || first.watching() > 0);
-    eventually("connections to the counter", || counter.connections.load(Ordering::SeqCst) >= 4);
-    let (second, other) = (Discovery::start(list(7, true, &members(next))), Counter::ok());
-    for agent in [&first, &second] {
-        agent.deaf.store(true, Ordering::SeqCst);
+/// A server that answers requests of one class with silence, noise, an endless body and a cut one in turn.
+fn server_with_unusable_responses() -> Server {
+    let unusable = AtomicUsize::new(0);
+    let endless = ["HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", &"x".repeat(200_000)].concat();
+    Server::start(move |request: &Message| {
+        if !request.start.contains("/once") {
+            return Act::Write(answer("200 OK", "", b"good"));
+        }
+        match unusable.fetch_add(1, Ordering::SeqCst) % 4 {
+            0 => Act::Silence,
+            1 => Act::Write(b"noise without end of a line".to_vec()),
+            2 => Act::Write(endless.clone().into_bytes()),
+            _ => Act::Close(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
+        }
+    })
+}
+
+/// Disconnects in one of four ways, after a request or what is none.
+fn misbehave(mut client: Client, kind: usize) {
+    match kind % 4 {
+        0 => client.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}"),
+        1 => {
+            client.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}");
+            // The close is a reset.
+            SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("linger");
+        }
+        2 => _ = client.stream.write_all(&[b'x'; 30_000]),
+        // Half a request.
+        _ => _ = client.stream.write_all(b"POST /once HTTP/1.1\r\nContent-Length: 100\r\n\r\nhalf"),
+    }
+}
+
+/// A correlation id in flight is released when its client disconnects: the same one may be used again.
+fn assert_correlation_id_is_released(limiter: &Limiter) {
+    const REQUEST: &[u8] = b"GET /look?customer=00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: same\r\n\
+        X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 1.9\r\nX-Quota: units=1,spread=2,first=0\r\n\r\n";
+    drop(limiter.client().stream.write_all(REQUEST));
+    eventually("the correlation id is released", || {
+        limiter.client().raw(REQUEST).is_some_and(|response| response.status() == 200)
+    });
+}
+
+/// The smallest limit on sockets, of the configuration and of the process.
+const MIN_SOCKETS: usize = 256;
+/// Descriptors that are kept for the limiter itself and its peers.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// A new list is in force so soon after discovery is back.
+const IN_FORCE_WITHIN: Duration = Duration::from_secs(6);
+
+/// A limiter with the smallest limit whose discovery is down, and the peers of a new configuration, whose discovery is
+/// silent.
+struct LimiterAtLimit {
+    limiter: Limiter,
+    /// The new configuration.
+    setup: Setup,
+    new_discovery: Discovery,
+    new_counter: Counter,
+    /// The first peers, which have to live as long.
+    _old_peers: (Discovery, Counter),
+}
+
+impl LimiterAtLimit {
+    fn start(server: &Server, new_server: &Server) -> Self {
+        let members = |server: &Server| -> Vec<String> {
+            (10..70).map(|id| member(&format!("s-000000{id}"), server.address, "Ready")).collect()
+        };
+        let (mut setup, discovery, counter) = around(&members(server));
+        setup.sockets = MIN_SOCKETS;
+        setup.descriptors = Some(MIN_SOCKETS);
+        let limiter = setup.start();
+        eventually("a watch", || discovery.watching() > 0);
+        eventually("connections to the counter", || has_connections(&counter));
+        let new_discovery = Discovery::start(list(7, true, &members(new_server)));
+        let new_counter = Counter::ok();
+        for agent in [&discovery, &new_discovery] {
+            agent.deaf.store(true, Ordering::SeqCst);
+        }
+        discovery.reset();
+        setup.discovery = new_discovery.address;
+        setup.counter = new_counter.address;
+        LimiterAtLimit { limiter, setup, new_discovery, new_counter, _old_peers: (discovery, counter) }
+    }
+
+    /// Reloads the configuration, lets discovery answer, and waits until its list is in force: all that is no client's
+    /// gets its descriptors.
+    fn move_to_new_peers(&self) {
+        let LimiterAtLimit { limiter, setup, new_discovery, new_counter, .. } = self;
+        limiter.reload(&setup.config());
+        eventually("a call to the silent discovery", || new_discovery.calls() > 0);
+        eventually("connections to the new counter", || has_connections(new_counter));
+        let started = Instant::now();
+        new_discovery.deaf.store(false, Ordering::SeqCst);
+        eventually("a watch after the list", || new_discovery.watching() > 0);
+        let elapsed = started.elapsed();
+        let descriptors = descriptors(limiter);
+        println!("in force {elapsed:.2?} after discovery's return, {descriptors} descriptors");
+        assert!(elapsed < IN_FORCE_WITHIN, "in force after {elapsed:?}");
+        let calls = new_discovery.asked.lock().expect("a lock").clone();
+        assert!(calls.iter().any(|call| call.contains("since=7")), "{calls:?}");
     }
-    first.reset();
-    (setup.discovery, setup.counter) = (second.address, other.address);
-    (limiter, setup, [first, second], [counter, other])
 }
 
-/// Everything that is no client's gets its descriptors: tells the limiter of the other agent and counter, lets
-/// the agent speak, and waits until its list is in force.
-fn move_all(limiter: &Limiter, setup: &Setup, agents: &[Discovery; 2], counters: &[Counter; 2]) {
-    limiter.reload(&setup.config());
-    eventually("a call to the agent that is silent", || agents[1].calls() > 0);
-    eventually("connections to the other counter", || counters[1].connections.load(Ordering::SeqCst) >= 4);
-    let start = Instant::now();
-    agents[1].deaf.store(false, Ordering::SeqCst);
-    eventually("a watch behind the list", || agents[1].watching() > 0);
-    println!(
-        "in force {:.2?} after discovery's return, {} descriptors",
-        start.elapsed(),
-        descriptors(limiter)
-    );
-    assert!(start.elapsed() < Duration::from_secs(6), "in force after {:?}", start.elapsed());
-    let asked = agents[1].asked.lock().expect("a lock").clone();
-    assert!(asked.iter().any(|call| call.contains("since=7")), "{asked:?}");
+fn has_connections(counter: &Counter) -> bool {
+    counter.connections.load(Ordering::SeqCst) >= COUNTER_CONNECTIONS
 }
 
+/// Far more idle clients than descriptors are connected and keep connecting. Discovery, the counter, servers and a
+/// client with a request still have to get their descriptors.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_them_from_nobody_else() {
-    let (server, next) = (Server::ok(), Server::ok());
-    let (limiter, setup, agents, counters) = at_the_smallest(&server, &next);
+fn idle_clients_that_fill_the_descriptors_take_none_from_peers_or_requests() {
+    let (server, new_server) = (Server::ok(), Server::ok());
+    let at_limit = LimiterAtLimit::start(&server, &new_server);
+    let limiter = &at_limit.limiter;
     // Connected already, half of them after one request; and more that connect meanwhile.
     let mut idle: Vec<Client> = (0..200).map(|_| limiter.client()).collect();
     for client in idle.iter_mut().step_by(2) {
-        // One whose place was wanted may have been closed.
+        // One whose descriptor was wanted may have been closed.
         _ = client.raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     }
-    let (address, more) = (limiter.address, Arc::new(AtomicUsize::new(0)));
-    let there = more.clone();
-    let flood = std::thread::spawn(move || {
-        (0..400).map(|_| (Client::connect(address), there.fetch_add(1, Ordering::SeqCst))).collect::<Vec<_>>()
+    let address = limiter.address;
+    let connected = Arc::new(AtomicUsize::new(0));
+    let connected_so_far = connected.clone();
+    let connecting = std::thread::spawn(move || {
+        let connect = |_| {
+            let client = Client::connect(address);
+            connected.fetch_add(1, Ordering::SeqCst);
+            client
+        };
+        (0..400).map(connect).collect::<Vec<_>>()
+    });
+    at_limit.move_to_new_peers();
+    eventually("more idle clients than descriptors", || {
+        connected_so_far.load(Ordering::SeqCst) > MIN_SOCKETS
     });
-    move_all(&limiter, &setup, &agents, &counters);
-    eventually("more idle clients than descriptors", || more.load(Ordering::SeqCst) > SMALLEST);
-    // A client that asks is still served, and from the list that is in force now.
+    // A client with a request is still served, and from the list that is in force now.
     let before = server.count();
-    eventually("an answer", || {
+    eventually("a response", || {
         let mut client = limiter.client();
         client.send("GET", "look", "X-Time-Left: 2.0\r\n", b"");
-        client.read().is_some_and(|m| m.status() == 200)
+        client.read().is_some_and(|response| response.status() == 200)
     });
-    assert_eq!(server.count(), before, "sent to a server that is gone");
-    assert!(next.count() > 0);
-    assert!(descriptors(&limiter) <= SMALLEST);
-    drop((idle, flood.join().expect("the flood")));
+    assert_eq!(server.count(), before, "sent to a server that is removed");
+    assert!(new_server.count() > 0);
+    assert!(descriptors(limiter) <= MIN_SOCKETS);
+    drop((idle, connecting.join().expect("the connecting clients")));
 }
 
+/// All client connections that the limiter accepts have a request in flight. Discovery and the counter still have to get
+/// their descriptors.
 #[test]
-fn requests_in_work_on_all_client_connections_keep_no_descriptor_from_anyone_else() {
-    let (gate, next) = (Gate::default(), Server::ok());
-    let there = gate.clone();
-    let server = Server::start(move |_| {
-        there.wait();
-        Act::Write(answer("200 OK", "", b""))
-    });
-    let (limiter, setup, agents, counters) = at_the_smallest(&server, &next);
+fn requests_in_flight_on_all_client_connections_take_no_descriptor_from_peers() {
+    let gate = Gate::default();
+    let server = gated_server(&gate);
+    let new_server = Server::ok();
+    let at_limit = LimiterAtLimit::start(&server, &new_server);
+    let limiter = &at_limit.limiter;
     // All stand in the queue before the first is accepted.
     limiter.signal("-STOP");
-    let mut clients: Vec<Client> = (0..SMALLEST).map(|_| limiter.client()).collect();
-    clients.iter_mut().for_each(|c| c.send("POST", "long", "X-Time-Left: 30\r\n", b"{}"));
+    let mut clients: Vec<Client> = (0..MIN_SOCKETS).map(|_| limiter.client()).collect();
+    clients.iter_mut().for_each(|client| client.send("POST", "long", "X-Time-Left: 30\r\n", b"{}"));
     limiter.signal("-CONT");
     // What the limiter lets clients have, and for each request a connection to its server.
-    let share = (SMALLEST - 24) / 2;
-    eventually("an attempt for each", || server.count() >= share);
-    assert_eq!(server.count(), share);
-    move_all(&limiter, &setup, &agents, &counters);
-    assert!(descriptors(&limiter) <= SMALLEST);
+    let client_share = (MIN_SOCKETS - RESERVED_DESCRIPTORS) / 2;
+    eventually("an attempt for each", || server.count() >= client_share);
+    assert_eq!(server.count(), client_share);
+    at_limit.move_to_new_peers();
+    assert!(descriptors(limiter) <= MIN_SOCKETS);
     gate.open();
     for client in &mut clients {
-        assert_eq!(client.read().map(|m| m.status()), Some(200));
+        assert_eq!(client.read().map(|response| response.status()), Some(200));
     }
-    assert!(next.count() > 0, "the list is not in force");
+    assert!(new_server.count() > 0, "the list is not in force");
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A process that starts anew is ready soon, whatever it is told at its start and whoever starts with it.
+//! A process that restarts is ready soon, whatever list it has cached and however many start with it.
 //!
 //! `LIMITERS=64 cargo test --release --test restart -- --nocapture` measures with so many processes at once.
 
@@ -9,74 +9,100 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
-use support::*;
+use support::{around, list, member, often, Client, Counter, Discovery, Limiter, Server, Setup};
 
 /// Nine in ten have to be ready within this.
 const READY_WITHIN: Duration = Duration::from_secs(10);
+/// Processes that are started together, unless `LIMITERS` says otherwise.
+const LIMITERS: usize = 10;
 
-/// Processes that are started together.
 fn limiters() -> usize {
-    std::env::var("LIMITERS").ok().and_then(|n| n.parse().ok()).unwrap_or(10)
+    std::env::var("LIMITERS").ok().and_then(|n| n.parse().ok()).unwrap_or(LIMITERS)
 }
 
 /// Processor time that a process has had so far.
-fn worked(limiter: &Limiter) -> Duration {
+fn processor_time(limiter: &Limiter) -> Duration {
     let path = format!("/proc/{}/schedstat", limiter.child.id());
     let text = std::fs::read_to_string(path).expect("its processor time");
     Duration::from_nanos(text.split(' ').next().and_then(|ns| ns.parse().ok()).expect("a number"))
 }
 
-/// Starts them all at once, prints how long they took to be ready, and holds nine in ten to the bound.
-fn start_together(what: &str, setup: impl Fn() -> Setup + Send + Sync + 'static) {
-    let (many, setup) = (limiters(), Arc::new(setup));
-    let barrier = Arc::new(Barrier::new(many));
-    let started: Vec<_> = (0..many)
+/// What a start took until the limiter was ready.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct StartTime {
+    elapsed: Duration,
+    processor_time: Duration,
+}
+
+/// Starts limiters all at once.
+fn start_times(count: usize, setup: impl Fn() -> Setup + Send + Sync + 'static) -> Vec<StartTime> {
+    let setup = Arc::new(setup);
+    let barrier = Arc::new(Barrier::new(count));
+    let threads: Vec<_> = (0..count)
         .map(|_| {
             let (setup, barrier) = (setup.clone(), barrier.clone());
             std::thread::spawn(move || {
                 barrier.wait();
-                let start = Instant::now();
+                let started = Instant::now();
                 let limiter = setup().start();
-                (start.elapsed(), worked(&limiter))
+                StartTime { elapsed: started.elapsed(), processor_time: processor_time(&limiter) }
             })
         })
         .collect();
-    let mut times: Vec<_> = started.into_iter().map(|t| t.join().expect("a limiter that is ready")).collect();
+    threads.into_iter().map(|thread| thread.join().expect("a limiter that is ready")).collect()
+}
+
+/// Starts limiters all at once, prints how long they took to be ready, and holds nine in ten to the bound.
+fn assert_ready_soon(name: &str, setup: impl Fn() -> Setup + Send + Sync + 'static) {
+    let count = limiters();
+    let mut times = start_times(count, setup);
     times.sort();
-    let most_worked = times.iter().map(|t| t.1).max().expect("a time");
-    let (median, nine, longest) =
-        (times[many / 2].0, times[(many * 9).div_ceil(10) - 1].0, times[many - 1].0);
-    println!("{what}: {many} ready after {median:.2?}, {nine:.2?}, {longest:.2?} (median, 9 in 10, longest); {most_worked:.1?} of a core at most");
-    assert!(nine < READY_WITHIN, "{what}: nine in ten took {nine:?}");
+    let max_processor_time = times.iter().map(|time| time.processor_time).max().expect("a time");
+    let median = times[count / 2].elapsed;
+    let nine_in_ten = times[(count * 9).div_ceil(10) - 1].elapsed;
+    let longest = times[count - 1].elapsed;
+    println!(
+        "{name}: {count} ready after {median:.2?}, {nine_in_ten:.2?}, {longest:.2?} (median, 9 in 10, longest); \
+         {max_processor_time:.1?} of a core at most"
+    );
+    assert!(nine_in_ten < READY_WITHIN, "{name}: nine in ten took {nine_in_ten:?}");
 }
 
-fn members(many: usize) -> Vec<String> {
+/// Entries of servers that nobody connects to.
+fn members(count: usize) -> Vec<String> {
     let address = |i: usize| SocketAddr::from(([10, 1, (i / 250) as u8, (i % 250) as u8], 8000));
-    (0..many).map(|i| member(&format!("s-{i:08x}"), address(i), "Ready")).collect()
+    (0..count).map(|i| member(&format!("s-{i:08x}"), address(i), "Ready")).collect()
 }
 
 #[test]
 fn limiters_that_start_together_are_ready_soon() {
-    for many in [20, 1000, 5700] {
-        let known = list(1, true, &members(many));
-        let (discovery, counter) = (Discovery::start(known.clone()), Counter::ok());
-        let peers = (discovery.address, counter.address);
-        let setup = move || Setup::new(peers.0, peers.1, &known);
-        start_together(&format!("{many} servers known"), setup);
+    for servers in [20, 1000, 5700] {
+        let known = list(1, true, &members(servers));
+        let discovery = Discovery::start(known.clone());
+        let counter = Counter::ok();
+        let (discovery_address, counter_address) = (discovery.address, counter.address);
+        let setup = move || Setup::new(discovery_address, counter_address, &known);
+        assert_ready_soon(&format!("{servers} servers known"), setup);
     }
 }
 
+/// Discovery is down when the limiters start: calls to it are never answered. Each has a cached list, and has to serve
+/// with that.
 #[test]
-fn a_silent_discovery_keeps_none_from_being_ready_from_an_old_list() {
-    let old = list(1, true, &members(5700));
-    let (discovery, counter) = (Discovery::start(old.clone()), Counter::ok());
+fn limiters_with_a_cached_list_are_ready_soon_while_discovery_is_silent() {
+    let cached = list(1, true, &members(5700));
+    let discovery = Discovery::start(cached.clone());
+    let counter = Counter::ok();
     discovery.deaf.store(true, Ordering::SeqCst);
-    let peers = (discovery.address, counter.address);
-    start_together("discovery silent, an old list", move || Setup::new(peers.0, peers.1, &old));
+    let (discovery_address, counter_address) = (discovery.address, counter.address);
+    let setup = move || Setup::new(discovery_address, counter_address, &cached);
+    assert_ready_soon("discovery silent, an old list", setup);
 }
 
+/// A limiter shuts down and closes its connections first, so that its side keeps them in TIME_WAIT. The next process
+/// has to listen on the same port all the same.
 #[test]
-fn the_port_of_the_process_before_is_taken_again_while_its_connections_linger() {
+fn a_restarted_limiter_listens_on_its_port_while_connections_are_in_time_wait() {
     let server = Server::ok();
     let (mut setup, _discovery, _counter) = around(&often(&server));
     // An address of its own: no other test is given the port meanwhile.
@@ -84,26 +110,25 @@
     let mut before = setup.start();
     setup.listen = before.address.to_string();
     let mut clients: Vec<Client> = (0..20).map(|_| before.client()).collect();
-    clients.iter_mut().for_each(|c| assert_eq!(c.look().status(), 200));
+    clients.iter_mut().for_each(|client| assert_eq!(client.look().status(), 200));
     before.terminate();
-    // The limiter closes first, so that its side is the one that lingers.
-    clients.iter_mut().for_each(|c| assert!(c.read().is_none()));
+    clients.iter_mut().for_each(|client| assert!(client.read().is_none()));
     drop(clients);
     assert_eq!(before.exit_code(), Some(0));
-    assert!(lingering(before.address) > 0, "nothing lingers");
-    let start = Instant::now();
+    assert!(time_wait_connections(before.address) > 0, "no connection is in TIME_WAIT");
+    let started = Instant::now();
     let after = setup.start();
     println!(
-        "a port with {} lingering connections: ready after {:.2?}",
-        lingering(after.address),
-        start.elapsed()
+        "a port with {} connections in TIME_WAIT: ready after {:.2?}",
+        time_wait_connections(after.address),
+        started.elapsed()
     );
-    assert!(start.elapsed() < READY_WITHIN);
+    assert!(started.elapsed() < READY_WITHIN);
     assert_eq!(after.client().look().status(), 200);
 }
 
 /// Connections of an address in TIME_WAIT.
-fn lingering(address: SocketAddr) -> usize {
+fn time_wait_connections(address: SocketAddr) -> usize {
     const TIME_WAIT: &str = "06";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of connections");
     let std::net::IpAddr::V4(ip) = address.ip() else { return 0 };
