--- a/capacity/tests/cost_growth.rs
+++ b/capacity/tests/cost_growth.rs
@@ -1,5 +1,5 @@
-//! Work that is counted and must not grow with the fleet: calls made and their bytes, attempts, memory taken from
-//! the allocator. No time is measured here; `capacity policy-cost` does that.
+//! Work that is counted and must not grow with the fleet: counter calls and their bytes, attempts, memory allocated. No
+//! time is measured here; `capacity policy-cost` does that.
 
 use gateway_capacity::deployment::Deployment;
 use gateway_capacity::policy_cost::{Bench, Costs};
@@ -10,9 +10,9 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 /// The allocator counts for the whole process: one test at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-/// Traffic of one limiter among so many, before as many servers as the plan has for them.
+/// What traffic costs one gateway among so many, before as many servers as the plan has for them.
 fn costs(gateways: usize, servers: usize) -> Costs {
     bench(gateways, servers).run(2.0)
 }
@@ -27,7 +27,7 @@
 
 #[test]
 fn calls_and_their_bytes_do_not_grow_with_the_fleet() {
-    let _alone = ALONE.lock();
+    let _lock = ONE_AT_A_TIME.lock();
     let (small, large) = (costs(19, 200), costs(190, 2_000));
     let calls = |c: &Costs| c.calls as f64 / c.request.events as f64;
     let bytes = |c: &Costs| c.bytes as f64 / c.calls as f64;
@@ -43,26 +43,24 @@
 
 #[test]
 fn attempts_do_not_grow_with_the_fleet() {
-    let _alone = ALONE.lock();
+    let _lock = ONE_AT_A_TIME.lock();
     let attempts = |c: &Costs| c.attempts as f64 / c.request.events as f64;
     let (small, large) = (costs(19, 200), costs(190, 2_000));
     assert!(attempts(&large) < 1.1 * attempts(&small), "{} and {}", attempts(&large), attempts(&small));
 }
 
 #[test]
-fn memory_taken_for_a_request_does_not_grow_with_the_fleet() {
-    let _alone = ALONE.lock();
+fn memory_allocated_for_a_request_does_not_grow_with_the_fleet() {
+    let _lock = ONE_AT_A_TIME.lock();
     // A copy of the list, or of a part of it that grows, shows here.
-    let taken = |gateways, servers| {
+    let allocated = |gateways, servers| {
         let mut bench = bench(gateways, servers);
         bench.run(1.0);
         let region = Region::new(ALLOCATOR);
         let costs = bench.run(2.0);
         region.change().bytes_allocated as f64 / costs.request.events as f64
     };
-    let (small, large) = (taken(19, 200), taken(190, 2_000));
-    println!(
-        "bytes taken from the allocator for a request: {small:.0} with 200 servers, {large:.0} with 2,000"
-    );
+    let (small, large) = (allocated(19, 200), allocated(190, 2_000));
+    println!("bytes allocated for a request: {small:.0} with 200 servers, {large:.0} with 2,000");
     assert!(large < 1.25 * small, "{large} bytes a request, {small} before");
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -5,6 +5,8 @@
 //!
 //! Environment: `COLD_SEEDS` sets the number of seeds; with `COLD_LOOK` figures are printed and not checked.
 
+#[path = "slow_start/attempts.rs"]
+mod attempts;
 #[path = "slow_start/event.rs"]
 mod event;
 #[path = "slow_start/fleet.rs"]
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -1,5 +1,6 @@
 //! Gateways and servers on one simulated clock, some of the servers starting together.
 
+use crate::attempts::{AttemptKey, AttemptTable, InFlightAttempt, RequestKey};
 use crate::event::{FleetEvent, SequencedEvent};
 use crate::outcome::SlowStartOutcome;
 use crate::server::{ReceivedRequest, SimulatedServer, CORES, MEAN_WORK};
@@ -31,28 +32,6 @@
 const FAULTS: [Outcome; 5] =
     [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset, Outcome::TimedOut];
 
-/// A request of one incarnation of a gateway.
-#[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct RequestKey {
-    gateway: usize,
-    incarnation: u32,
-    id: RequestId,
-}
-
-/// An attempt of a request.
-#[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct AttemptKey {
-    request: RequestKey,
-    attempt: u8,
-}
-
-/// An attempt in flight.
-struct InFlightAttempt {
-    key: AttemptKey,
-    server: usize,
-    sent_at: Millis,
-}
-
 /// An event for one gateway.
 struct GatewayEvent {
     gateway: usize,
@@ -89,11 +68,7 @@
     phase: ServerPhase,
     queue: EventQueue<SequencedEvent>,
     next_sequence: u64,
-    next_attempt: u64,
-    in_flight: HashMap<u64, InFlightAttempt>,
-    attempt_numbers: HashMap<AttemptKey, u64>,
-    /// Attempts that each request has had.
-    attempts: HashMap<RequestKey, u8>,
+    attempts: AttemptTable,
     arrived: HashMap<RequestKey, Millis>,
     requests: u32,
     served: u32,
@@ -119,10 +94,7 @@
             phase: ServerPhase::BeforeStop,
             queue: EventQueue::new(),
             next_sequence: 0,
-            next_attempt: 0,
-            in_flight: HashMap::new(),
-            attempt_numbers: HashMap::new(),
-            attempts: HashMap::new(),
+            attempts: AttemptTable::default(),
             arrived: HashMap::new(),
             requests: 0,
             served: 0,
@@ -208,14 +180,7 @@
         if self.world.known_before {
             self.phase = ServerPhase::Down;
         }
-        let is_lost = |attempt: &InFlightAttempt| self.world.is_starting(attempt.server);
-        let mut lost: Vec<u64> = self
-            .in_flight
-            .iter()
-            .filter(|(_, attempt)| is_lost(attempt))
-            .map(|(number, _)| *number)
-            .collect();
-        lost.sort_unstable();
+        let lost = self.attempts.in_flight_at(|server| self.world.is_starting(server));
         for number in lost {
             self.end_and_notify(now, number, Outcome::Reset);
         }
@@ -283,7 +248,7 @@
             }
             Action::Cancel { id, attempt } => {
                 let key = AttemptKey { request: self.request_key(gateway, id), attempt };
-                let number = *self.attempt_numbers.get(&key)?;
+                let number = self.attempts.number(key)?;
                 self.end_attempt(now, number, Outcome::Cancelled).map(|ended| ended.event)
             }
             Action::Timer { after, .. } => {
@@ -296,7 +261,7 @@
     }
 
     fn begin_attempt(&mut self, now: Millis, request: RequestKey, server: usize, timeout: Millis) {
-        let number = self.register_attempt(now, request, server);
+        let number = self.attempts.add(request, server, now);
         let DrawnAttempt { work, fault } = self.draw_attempt();
         if !self.is_reachable(now, server) || fault == Some(Outcome::ConnectFailed) {
             let outcome = Outcome::ConnectFailed;
@@ -320,17 +285,6 @@
         }
     }
 
-    fn register_attempt(&mut self, now: Millis, request: RequestKey, server: usize) -> u64 {
-        let attempts = self.attempts.entry(request).or_default();
-        let key = AttemptKey { request, attempt: *attempts };
-        *attempts += 1;
-        self.next_attempt += 1;
-        let number = self.next_attempt;
-        self.in_flight.insert(number, InFlightAttempt { key, server, sent_at: now });
-        self.attempt_numbers.insert(key, number);
-        number
-    }
-
     fn draw_attempt(&mut self) -> DrawnAttempt {
         let work = self.rng.exponential(1.0);
         let drawn = self.rng.uniform();
@@ -362,7 +316,7 @@
 
     /// Ends an attempt that is in flight, unless its gateway has restarted since.
     fn end_attempt(&mut self, now: Millis, number: u64, outcome: Outcome) -> Option<GatewayEvent> {
-        let InFlightAttempt { key, server, sent_at } = self.in_flight.remove(&number)?;
+        let InFlightAttempt { key, server, sent_at } = self.attempts.remove(number)?;
         let RequestKey { gateway, incarnation, id } = key.request;
         if incarnation != self.incarnations[gateway] {
             return None;
