--- a/capacity/src/memory.rs
+++ b/capacity/src/memory.rs
@@ -130,8 +130,8 @@
 
 impl MemoryBench {
     fn new(tenants: usize, servers: usize) -> Self {
-        // As the only gateway of its tenants it may have all requests in flight at once.
-        let deployment = Deployment { gateways_per_tenant: 1, tenants, servers, ..Deployment::default() };
+        // A fleet of one gateway, whose concurrency limit allows all requests to be in flight at once.
+        let deployment = Deployment { gateways: 1, tenants, servers, ..Deployment::default() };
         let settings = Settings { counter: false, ..deployment.settings() };
         MemoryBench {
             demand: deployment.demand(),
