--- a/capacity/src/simulated_fleet/figures.rs
+++ b/capacity/src/simulated_fleet/figures.rs
@@ -57,6 +57,7 @@
 }
 
 impl FleetFigures {
+    /// The figures by their names in reports.
     pub fn report(&self) -> Report {
         let mut report = Report::default();
         self.add_requests(&mut report);
--- a/capacity/src/simulated_fleet/fleet.rs
+++ b/capacity/src/simulated_fleet/fleet.rs
@@ -124,14 +124,17 @@
         (micros(self.now - START) as f64 / 1e6 * self.deployment.rate) as usize
     }
 
+    /// What was counted so far.
     pub fn counts(&self) -> FleetCounts {
         self.counts
     }
 
+    /// Tenants that all gateways together remember.
     pub fn remembered_tenants(&self) -> usize {
         self.gateways.iter().map(Gateway::tenant_count).sum()
     }
 
+    /// How evenly the counted attempts fell on the servers.
     pub fn load_spread(&self) -> LoadSpread {
         self.servers.load_spread()
     }
--- a/capacity/src/simulated_fleet/servers.rs
+++ b/capacity/src/simulated_fleet/servers.rs
@@ -45,6 +45,7 @@
 }
 
 impl SimulatedServers {
+    /// Servers that are up, spread over zones.
     pub fn new(count: usize, zones: usize) -> Self {
         let server = |_| SimulatedServer { up: true, in_flight: 0.0, attempts: 0 };
         SimulatedServers { servers: (0..count).map(server).collect(), zones }
@@ -83,6 +84,7 @@
         }
     }
 
+    /// How evenly the counted attempts fell on the servers.
     pub fn load_spread(&self) -> LoadSpread {
         let count = self.servers.len() as f64;
         let attempts = || self.servers.iter().map(|server| f64::from(server.attempts));
--- a/tests/load_balancing/deployment.rs
+++ b/tests/load_balancing/deployment.rs
@@ -9,12 +9,16 @@
 const CELLS: u32 = 23;
 const TENANTS: u32 = 50;
 
-/// Classes by their place in [`settings`].
+/// The idempotent class; classes are by their place in [`settings`].
 pub const IDEMPOTENT: ClassId = ClassId(0);
+/// With an idempotency key that is known in the zone.
 pub const KEY_BY_ZONE: ClassId = ClassId(1);
+/// With an idempotency key that is known in the cell.
 pub const KEY_BY_CELL: ClassId = ClassId(2);
+/// Number of classes.
 pub const CLASSES: u64 = 5;
 
+/// Three gateways and a class for each kind of idempotency.
 pub fn settings() -> Settings {
     let with_key = |scope| Idempotency::IdempotencyKey { scope, window: 4000.0 };
     let idempotencies = [
--- a/tests/load_balancing/random_fleet.rs
+++ b/tests/load_balancing/random_fleet.rs
@@ -71,6 +71,7 @@
 }
 
 impl RandomFleet {
+    /// A gateway that holds a cached list of ready servers.
     pub fn new(servers: u32, seed: u64) -> Self {
         let endpoints = endpoints(servers);
         let mut fleet = RandomFleet {
--- a/tests/load_balancing/steady_traffic.rs
+++ b/tests/load_balancing/steady_traffic.rs
@@ -44,6 +44,7 @@
         self.gateway.handle(self.now, event, &mut Vec::new());
     }
 
+    /// Sends so many requests.
     pub fn run(&mut self, requests: u32) {
         for _ in 0..requests {
             self.last_request += 1;
--- a/tests/policy/rig.rs
+++ b/tests/policy/rig.rs
@@ -60,10 +60,12 @@
         forwarded_to(&self.0)
     }
 
+    /// A request was forwarded.
     pub fn is_forwarded(&self) -> bool {
         self.forwarded_to().is_some()
     }
 
+    /// A request was rejected.
     pub fn is_rejected(&self) -> bool {
         self.0.iter().any(|action| matches!(action, Action::Reject { .. }))
     }
@@ -81,6 +83,7 @@
         })
     }
 
+    /// The calls to the counter.
     pub fn counter_calls(&self) -> Vec<CounterCall> {
         let call = |action: &Action| match action {
             Action::IncrementCounter { key, add, .. } => Some(CounterCall { key: *key, add: *add }),
@@ -129,6 +132,7 @@
         Rig { gateway: Gateway::new(settings, seed), last_actions: Actions::default(), next_request: 1 }
     }
 
+    /// Feeds an event to the gateway at a time, ms.
     pub fn handle(&mut self, now: Millis, event: Event) -> Actions {
         let mut actions = Vec::new();
         self.gateway.handle(now, event, &mut actions);
@@ -136,6 +140,7 @@
         self.last_actions.clone()
     }
 
+    /// Fires the timer.
     pub fn timer(&mut self, now: Millis) -> Actions {
         self.handle(now, Event::Timer(0))
     }
--- a/tests/quota_accuracy/ledger.rs
+++ b/tests/quota_accuracy/ledger.rs
@@ -52,6 +52,7 @@
 }
 
 impl<'a> Ledger<'a> {
+    /// A ledger of full buckets.
     pub fn new(world: &'a World) -> Self {
         let plan_indices = world.plan_indices();
         let full = |index: &usize| TokenBucket { tokens: world.plans[*index].plan.burst, refilled_at: 0.0 };
@@ -65,6 +66,7 @@
         }
     }
 
+    /// A tenant's plan.
     pub fn plan_of(&self, tenant: usize) -> &'a PricedPlan {
         &self.world.plans[self.plan_indices[tenant]]
     }
@@ -76,6 +78,7 @@
         self.buckets[tenant].tokens >= 1.0
     }
 
+    /// Records a forwarded request.
     pub fn forward(&mut self, tenant: usize, now: Millis) {
         let priced = self.plan_of(tenant);
         let value = priced.plan.priority_multiplier;
@@ -86,6 +89,7 @@
         }
     }
 
+    /// Records a rejected request.
     pub fn reject(&mut self, tenant: usize, now: Millis) {
         let plan = self.plan_of(tenant);
         let bucket = &mut self.buckets[tenant];
--- a/tests/quota_accuracy/world.rs
+++ b/tests/quota_accuracy/world.rs
@@ -71,6 +71,7 @@
         (self.gateways as f64).min(max).floor()
     }
 
+    /// Settings of each gateway.
     pub fn settings(&self) -> Settings {
         let class =
             Class { latency_objective: 600.0, deadline: 2000.0, priority_weight: 1.0, ..Class::default() };
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -53,6 +53,7 @@
     Started,
 }
 
+/// A fleet in its simulation.
 pub struct Fleet {
     world: World,
     settings: Settings,
@@ -75,6 +76,7 @@
 }
 
 impl Fleet {
+    /// A fleet before its first event.
     pub fn new(world: &World, seed: u64) -> Self {
         let mut rng = SeededRng::new(seed.wrapping_mul(0x9e37_79b9) ^ 0x5eed);
         let settings = world.settings();
--- a/tests/slow_start/server.rs
+++ b/tests/slow_start/server.rs
@@ -3,8 +3,9 @@
 use rate_limiting_gateway::ids::Millis;
 use std::collections::VecDeque;
 
-/// Mean work of a request on a warm server of size 1, ms; and how many a server works on side by side.
+/// Mean work of a request on a warm server of size 1, ms.
 pub const MEAN_WORK: Millis = 80.0;
+/// Requests that a server works on side by side.
 pub const CORES: usize = 2;
 /// Requests that a server holds before it rejects further ones.
 const QUEUE_LENGTH: usize = 40;
@@ -18,6 +19,7 @@
     pub gateway_notified: bool,
 }
 
+/// A server with its queue.
 pub struct SimulatedServer {
     /// Capacity beside the others'.
     pub size: f64,
@@ -28,6 +30,7 @@
 }
 
 impl SimulatedServer {
+    /// An idle server.
     pub fn new(size: f64) -> Self {
         let core_free_at = [0.0; CORES];
         SimulatedServer { size, core_free_at, completions: VecDeque::new(), received: Vec::new() }
--- a/tests/slow_start/world.rs
+++ b/tests/slow_start/world.rs
@@ -3,8 +3,9 @@
 use rate_limiting_gateway::ids::Millis;
 use rate_limiting_gateway::settings::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 
-/// The starting servers start at this time, ms, and have been down for as long as `DOWNTIME`.
+/// The starting servers start at this time, ms.
 pub const START: Millis = 3000.0;
+/// How long they have been down by then, ms.
 pub const DOWNTIME: Millis = 700.0;
 
 /// What happens to the gateways when the servers start.
@@ -52,6 +53,7 @@
 }
 
 impl World {
+    /// The usual traffic before so many servers, of which the first start.
     pub fn new(gateways: usize, servers: usize, starting: usize) -> Self {
         World {
             gateways,
@@ -88,6 +90,7 @@
         self.warm_servers_lost_after.is_some_and(|after| now > START + after)
     }
 
+    /// Settings of each gateway.
     pub fn settings(&self) -> Settings {
         let class = |latency_objective, idempotency| Class {
             latency_objective,
