--- a/src/config/settings_reader.rs
+++ b/src/config/settings_reader.rs
@@ -91,7 +91,5 @@
         ceiling_rate: number("hard_rate", 0.0)?,
         ceiling_burst: number("cap_depth", 0.0)?,
         priority_multiplier: number("pays", 1.0)?,
-        overage_value: number("excess_worth", 0.0)?,
-        overage_penalty: number("over_cost", 0.0)?,
     })
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -64,10 +64,6 @@
     pub ceiling_burst: f64,
     /// Multiplier on the class's priority weight.
     pub priority_multiplier: f64,
-    /// Share of the value that a request sent beyond the quota earns.
-    pub overage_value: f64,
-    /// Share of the value that a request sent beyond the quota costs.
-    pub overage_penalty: f64,
 }
 
 /// Everything a gateway's decisions are told at the start.
