--- a/tests/settings_variety.rs
+++ b/tests/settings_variety.rs
@@ -59,9 +59,9 @@
     )
 }
 
-#[test]
-fn every_class_and_plan_is_served_whatever_the_settings_are() {
-    let variants: [(&str, Value); 9] = [
+/// Settings at the edges of what may be told, each with what is unusual in it.
+fn variants() -> [(&'static str, Value); 9] {
+    [
         ("as they are", settings()),
         (
             "one gateway",
@@ -89,8 +89,12 @@
                 ("/ceilings/conn_idle", json!(1e300)),
             ])
         }),
-    ];
-    for (what, settings) in variants {
+    ]
+}
+
+#[test]
+fn every_class_and_plan_is_served_whatever_the_settings_are() {
+    for (what, settings) in variants() {
         let server = Server::ok();
         let (mut setup, _discovery, _counter) = around(&often(&server));
         setup.settings = Some(settings);
