--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -55,7 +55,7 @@
 }
 
 /// What a look at a tenant's unsent units says.
-pub(super) enum Sync {
+pub(super) enum SyncStatus {
     /// Nothing is due yet.
     NotDue,
     /// There is nothing to tell and no reply to wait for.
@@ -210,7 +210,7 @@
 
     /// What is to be told to the counter now. The first call also reads what other gateways have told; while
     /// the counter is congested it waits until the tenant's use could matter.
-    pub(super) fn sync(&mut self, now: Millis, tenant: TenantId, backoff_factor: f64) -> Sync {
+    pub(super) fn sync(&mut self, now: Millis, tenant: TenantId, backoff_factor: f64) -> SyncStatus {
         let unsent = self.accepted.unsent() + self.declined.unsent();
         let backoff = self.backoff_factor(backoff_factor);
         let batch = SYNC_SHARE * self.quota.burst;
@@ -223,7 +223,7 @@
             unsent > 0.0 && unsent >= min_units && waited >= SYNC_INTERVAL * backoff.min(MAX_BATCH_FACTOR);
         if !first_read && !batch_due {
             let idle = unsent <= 0.0 && !self.has_pending_calls();
-            return if idle { Sync::Idle } else { Sync::NotDue };
+            return if idle { SyncStatus::Idle } else { SyncStatus::NotDue };
         }
         // All keys end together, so a congested counter is spared the closing reads of tenants far from their
         // quota.
@@ -234,7 +234,7 @@
         if declined_due {
             calls.extend(self.begin_calls(Decision::Declined, now, tenant, read_closing_keys));
         }
-        Sync::Calls(calls)
+        SyncStatus::Calls(calls)
     }
 
     /// Begins a call for one decision's units, unless one is in flight. Before the first call of a new span
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the counter service: which are made and when, and whom their replies concern.
 
-use super::batched_usage::Sync;
+use super::batched_usage::SyncStatus;
 use super::counter_key::COUNTER_KEY_TTL;
 use super::low_traffic::LowTrafficUsage;
 use super::random::uniform;
@@ -68,9 +68,9 @@
         };
         match &mut tenant.usage {
             Usage::Batched(usage) => match usage.sync(now, tenant_id, backoff_factor) {
-                Sync::NotDue => {}
-                Sync::Idle => _ = self.unsynced.remove(&tenant_id),
-                Sync::Calls(calls) => {
+                SyncStatus::NotDue => {}
+                SyncStatus::Idle => _ = self.unsynced.remove(&tenant_id),
+                SyncStatus::Calls(calls) => {
                     for call in calls {
                         let owner = CallOwner { tenant: tenant_id, decision: call.decision };
                         self.call_counter(owner, call.key, call.add);
