--- /dev/null
+++ b/src/net/client/connection_table.rs
@@ -0,0 +1,63 @@
+//! The table of all open client connections.
+
+use super::connection::Connection;
+use std::cell::{Cell, Ref, RefCell};
+use std::collections::HashMap;
+use std::future::Future;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// All open client connections.
+#[derive(Default)]
+pub struct ConnectionTable {
+    connections: RefCell<HashMap<u64, Rc<Connection>>>,
+    last_number: Cell<u64>,
+    removed: Notify,
+}
+
+impl ConnectionTable {
+    /// Adds a connection; it stays in the table until the returned guard is dropped.
+    pub fn register(self: &Rc<Self>, connection: Connection) -> RegisteredConnection {
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        let connection = Rc::new(connection);
+        self.connections.borrow_mut().insert(number, connection.clone());
+        RegisteredConnection { table: self.clone(), number, connection }
+    }
+
+    /// The connections by number. Nothing may be registered or removed while the result is held.
+    pub fn entries(&self) -> Ref<'_, HashMap<u64, Rc<Connection>>> {
+        self.connections.borrow()
+    }
+
+    /// Number of connections.
+    pub fn count(&self) -> usize {
+        self.connections.borrow().len()
+    }
+
+    /// Waits until a connection is removed.
+    pub fn connection_removed(&self) -> impl Future<Output = ()> + '_ {
+        self.removed.notified()
+    }
+}
+
+/// Removes its connection from the table when dropped, however the connection ends.
+pub struct RegisteredConnection {
+    table: Rc<ConnectionTable>,
+    number: u64,
+    connection: Rc<Connection>,
+}
+
+impl RegisteredConnection {
+    /// The connection.
+    pub fn connection(&self) -> &Rc<Connection> {
+        &self.connection
+    }
+}
+
+impl Drop for RegisteredConnection {
+    fn drop(&mut self) {
+        self.table.connections.borrow_mut().remove(&self.number);
+        self.table.removed.notify_one();
+    }
+}
--- /dev/null
+++ b/src/net/client/connection_task.rs
@@ -0,0 +1,60 @@
+//! Serves one client connection from its first byte to its close.
+
+use super::connection::Phase;
+use super::connection_table::RegisteredConnection;
+use super::disconnect::disconnected_while_processing;
+use super::instrumented_stream::InstrumentedStream;
+use super::request_handler::RequestHandler;
+use crate::net::event_loop::EventLoop;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::pin::pin;
+use std::rc::Rc;
+
+/// Read buffer of a connection, bytes; a longer request head is rejected.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+
+/// Serves a connection until it ends, is closed or aborted, or its client disconnects.
+///
+/// When this returns, the connection is dropped and with it the request it was processing, whose attempts are then
+/// cancelled.
+pub async fn serve_connection(
+    registered: RegisteredConnection,
+    handler: Rc<RequestHandler>,
+    event_loop: Rc<EventLoop>,
+) {
+    let connection = registered.connection().clone();
+    // A response is one small write, and must not wait for an acknowledgement.
+    let _ = connection.stream().set_nodelay(true);
+    let service = service_fn(|request| {
+        let (handler, event_loop, connection) = (handler.clone(), event_loop.clone(), connection.clone());
+        async move {
+            let response = handler.handle(request, &connection).await;
+            connection.enter(Phase::Writing, event_loop.now());
+            Ok::<_, Infallible>(response)
+        }
+    });
+    let stream = InstrumentedStream::new(connection.clone(), event_loop.clone());
+    let mut builder = http1::Builder::new();
+    builder.max_buf_size(READ_BUFFER_BYTES);
+    let mut http_connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
+    let mut disconnected = pin!(disconnected_while_processing(&connection));
+    loop {
+        tokio::select! {
+            biased;
+            _ = http_connection.as_mut() => return,
+            () = disconnected.as_mut() => return,
+            () = connection.close_requested() => {
+                if connection.is_aborted() {
+                    return;
+                }
+                // A request may have arrived since the close was requested.
+                if connection.may_close() {
+                    http_connection.as_mut().graceful_shutdown();
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/net/client/idle_reaper.rs
@@ -0,0 +1,28 @@
+//! Closes connections that have been idle for too long or make no progress.
+
+use super::connection::Phase;
+use super::connection_table::ConnectionTable;
+use crate::ids::Millis;
+use std::time::Duration;
+
+/// How often connections are checked for their timeouts.
+const REAP_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Closes overdue connections at each interval, for the life of the process; `now` tells the time, Unix ms.
+pub async fn reap_periodically(connections: &ConnectionTable, now: impl Fn() -> Millis) {
+    loop {
+        tokio::time::sleep(REAP_INTERVAL).await;
+        close_overdue(connections, now());
+    }
+}
+
+fn close_overdue(connections: &ConnectionTable, now: Millis) {
+    for connection in connections.entries().values().filter(|connection| connection.is_overdue(now)) {
+        match connection.phase() {
+            // A request has arrived in time and the runtime has not read it yet.
+            Phase::Idle if connection.has_unread_bytes() => {}
+            Phase::Idle => connection.request_close(),
+            _ => connection.abort(),
+        }
+    }
+}
--- /dev/null
+++ b/src/net/client/request_body.rs
@@ -0,0 +1,30 @@
+//! Reads the body of a request whole.
+
+use super::connection::READ_TIMEOUT;
+use super::request_error::RequestError;
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use std::time::Duration;
+
+/// Longest body of a request, bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+
+/// Reads a body whole, so that a rejection never meets a client that is still sending.
+///
+/// An error if the body is too long, does not arrive in time or breaks off.
+pub async fn read_body(body: Incoming) -> Result<Bytes, RequestError> {
+    if body.is_end_stream() {
+        return Ok(Bytes::new());
+    }
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(RequestError::BodyTooLong);
+    }
+    let timeout = Duration::from_secs_f64(READ_TIMEOUT / 1000.0);
+    match tokio::time::timeout(timeout, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(RequestError::BodyTooLong),
+        Ok(Err(_)) => Err(RequestError::IncompleteBody),
+        Err(_) => Err(RequestError::BodyTimeout),
+    }
+}
--- /dev/null
+++ b/src/net/client/request_error.rs
@@ -0,0 +1,103 @@
+//! Why a request is rejected before it is admitted.
+
+use hyper::StatusCode;
+use std::fmt;
+
+/// Why a request is rejected before it is admitted. Each is answered by a status and a line of text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestError {
+    /// It has a `Transfer-Encoding`.
+    TransferEncoding,
+    /// A header that may occur once occurs twice.
+    DuplicateHeader,
+    /// A header's value is not visible ASCII.
+    HeaderNotText,
+    /// The path names no class.
+    UnknownPath,
+    /// The class in the header is not that of the path.
+    ClassMismatch,
+    /// The class has no settings.
+    UnknownClass,
+    /// The method is not that of the class.
+    MethodNotAllowed,
+    /// The class needs an idempotency key, and there is none.
+    MissingIdempotencyKey,
+    /// The correlation id is absent, empty or too long.
+    MissingCorrelationId,
+    /// The plan is absent or unknown.
+    UnknownPlan,
+    /// The tenant in the query cannot be read.
+    InvalidTenant,
+    /// The time left is absent, unreadable or out of range.
+    InvalidTimeLeft,
+    /// The quota header is absent, unreadable or out of range.
+    InvalidQuota,
+    /// A `GET` has a body.
+    UnexpectedBody,
+    /// The body is longer than allowed.
+    BodyTooLong,
+    /// The connection ended or broke within the body.
+    IncompleteBody,
+    /// The body did not arrive in time.
+    BodyTimeout,
+    /// Another request with this correlation id is in flight.
+    CorrelationIdInFlight,
+}
+
+impl RequestError {
+    /// The status of the response.
+    pub fn status(self) -> StatusCode {
+        match self {
+            RequestError::TransferEncoding => StatusCode::LENGTH_REQUIRED,
+            RequestError::UnknownPath => StatusCode::NOT_FOUND,
+            RequestError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            RequestError::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            RequestError::CorrelationIdInFlight => StatusCode::CONFLICT,
+            RequestError::DuplicateHeader
+            | RequestError::HeaderNotText
+            | RequestError::ClassMismatch
+            | RequestError::UnknownClass
+            | RequestError::MissingIdempotencyKey
+            | RequestError::MissingCorrelationId
+            | RequestError::UnknownPlan
+            | RequestError::InvalidTenant
+            | RequestError::InvalidTimeLeft
+            | RequestError::InvalidQuota
+            | RequestError::UnexpectedBody
+            | RequestError::IncompleteBody => StatusCode::BAD_REQUEST,
+        }
+    }
+
+    /// The body of the response: one line.
+    pub fn response_text(self) -> &'static str {
+        match self {
+            RequestError::TransferEncoding => "Content-Length is wanted, and no Transfer-Encoding\n",
+            RequestError::DuplicateHeader => "a header stands twice\n",
+            RequestError::HeaderNotText => "a header is no plain text\n",
+            RequestError::UnknownPath => "no such path\n",
+            RequestError::ClassMismatch => "the class in the header is not that of the path\n",
+            RequestError::UnknownClass => "no such class\n",
+            RequestError::MethodNotAllowed => "the class wants another method\n",
+            RequestError::MissingIdempotencyKey => "Idempotency-Key is missing\n",
+            RequestError::MissingCorrelationId => "X-Correlation-Id is missing\n",
+            RequestError::UnknownPlan => "unknown plan\n",
+            RequestError::InvalidTenant => "no customer that can be read\n",
+            RequestError::InvalidTimeLeft => "X-Time-Left is missing or out of range\n",
+            RequestError::InvalidQuota => "X-Quota cannot be read\n",
+            RequestError::UnexpectedBody => "no body is wanted\n",
+            RequestError::BodyTooLong => "over 64 KiB\n",
+            RequestError::IncompleteBody => "the body is not whole\n",
+            RequestError::BodyTimeout => "the body takes too long\n",
+            RequestError::CorrelationIdInFlight => "a request of this name is open\n",
+        }
+    }
+}
+
+impl fmt::Display for RequestError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.response_text().trim_end())
+    }
+}
+
+impl std::error::Error for RequestError {}
--- /dev/null
+++ b/src/net/client/request_parser.rs
@@ -0,0 +1,168 @@
+//! Validates the head of a request. All of it is checked before the request is admitted: an invalid request must
+//! not reach the decisions, nor change what is known of a tenant.
+
+use super::headers::{
+    parse_decimal, single_value, CLIENT_RETRY, CORRELATION_ID, IDEMPOTENCY_KEY, PLAN, QUOTA, SERVICE_CLASS,
+    TIME_LEFT,
+};
+use super::quota_header::{parse_quota, Quota, QuotaLimits};
+use super::request_error::RequestError;
+use crate::config::Names;
+use crate::event;
+use crate::ids::{ClassId, Millis, PlanId, TenantId};
+use crate::settings::{Class, Idempotency, Settings};
+use bytes::Bytes;
+use hyper::header::{HeaderMap, CONTENT_TYPE, HOST, TRANSFER_ENCODING};
+use hyper::http::request::Parts;
+use hyper::{Method, Uri};
+
+/// Tenant ids are numbers below this.
+const TENANT_ID_LIMIT: u64 = 1 << 33;
+/// Hexadecimal digits of a tenant id.
+const TENANT_ID_DIGITS: usize = 16;
+/// Longest correlation id, bytes.
+const MAX_CORRELATION_ID_LENGTH: usize = 128;
+/// Longest time a client may state that it waits, ms: an hour.
+const MAX_TIME_LEFT: Millis = 3_600_000.0;
+
+/// A request whose head has been validated.
+pub struct ValidatedHead {
+    /// What the decisions are told.
+    pub request: event::Request,
+    /// Its correlation id.
+    pub correlation_id: Box<str>,
+    /// The headers that are forwarded to a server.
+    pub forwarded_headers: HeaderMap,
+}
+
+/// Rejects what can be read in two ways: a length beside a transfer coding may hide a second request (request
+/// smuggling), and the HTTP parser keeps the coding only. So a length is all that is accepted, and one `Host`.
+pub fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
+    if headers.contains_key(TRANSFER_ENCODING) {
+        return Err(RequestError::TransferEncoding);
+    }
+    single_value(headers, &HOST).map(|_| ())
+}
+
+/// Validates a head against the configured names and settings. The first error found is returned.
+pub fn validate_head(
+    head: &Parts,
+    names: &Names,
+    settings: &Settings,
+) -> Result<ValidatedHead, RequestError> {
+    let headers = &head.headers;
+    let class_id = parse_class(head, names)?;
+    let class = settings.classes.get(class_id.0).ok_or(RequestError::UnknownClass)?;
+    check_method(&head.method, class)?;
+    check_idempotency_key(headers, class)?;
+    let correlation_id = parse_correlation_id(headers)?;
+    let plan = parse_plan(headers, names)?;
+    let tenant = parse_tenant(head.uri.query().unwrap_or("")).ok_or(RequestError::InvalidTenant)?;
+    let time_left = parse_time_left(headers, class)?;
+    let quota = parse_quota_header(headers, settings)?;
+    // Its value is not used, but it may occur once only.
+    single_value(headers, &CLIENT_RETRY)?;
+    let request = event::Request {
+        tenant,
+        class: class_id,
+        plan,
+        units: quota.units,
+        time_left,
+        gateway_count: quota.gateway_count,
+        ..event::Request::default()
+    };
+    let forwarded_headers = forwarded_headers(headers);
+    Ok(ValidatedHead { request, correlation_id: correlation_id.into(), forwarded_headers })
+}
+
+/// Rejects a `GET` with a body.
+pub fn check_body(method: &Method, body: &Bytes) -> Result<(), RequestError> {
+    if method == Method::GET && !body.is_empty() {
+        return Err(RequestError::UnexpectedBody);
+    }
+    Ok(())
+}
+
+/// The URI that a server is sent: path and query, also where the client sent an absolute URI.
+pub fn origin_form(uri: Uri) -> Uri {
+    match (uri.scheme(), uri.path_and_query()) {
+        (Some(_), Some(path)) => path.clone().into(),
+        _ => uri,
+    }
+}
+
+fn parse_class(head: &Parts, names: &Names) -> Result<ClassId, RequestError> {
+    let name = head.uri.path().split('/').nth(1).unwrap_or("");
+    let class = names.classes.iter().position(|class| class == name).ok_or(RequestError::UnknownPath)?;
+    if single_value(&head.headers, &SERVICE_CLASS)? != Some(name) {
+        return Err(RequestError::ClassMismatch);
+    }
+    Ok(ClassId(class))
+}
+
+fn check_method(method: &Method, class: &Class) -> Result<(), RequestError> {
+    let expected = if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
+    if *method != expected {
+        return Err(RequestError::MethodNotAllowed);
+    }
+    Ok(())
+}
+
+fn check_idempotency_key(headers: &HeaderMap, class: &Class) -> Result<(), RequestError> {
+    let key = single_value(headers, &IDEMPOTENCY_KEY)?;
+    let is_required = matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
+    if is_required && key.is_none_or(str::is_empty) {
+        return Err(RequestError::MissingIdempotencyKey);
+    }
+    Ok(())
+}
+
+fn parse_correlation_id(headers: &HeaderMap) -> Result<&str, RequestError> {
+    let id = single_value(headers, &CORRELATION_ID)?;
+    id.filter(|id| (1..=MAX_CORRELATION_ID_LENGTH).contains(&id.len()))
+        .ok_or(RequestError::MissingCorrelationId)
+}
+
+fn parse_plan(headers: &HeaderMap, names: &Names) -> Result<PlanId, RequestError> {
+    let name = single_value(headers, &PLAN)?;
+    let plan = name.and_then(|name| names.plans.iter().position(|plan| plan == name));
+    plan.map(PlanId).ok_or(RequestError::UnknownPlan)
+}
+
+/// How long the client still waits, ms. No client waits longer than its class allows, and nothing is kept longer.
+fn parse_time_left(headers: &HeaderMap, class: &Class) -> Result<Millis, RequestError> {
+    let seconds = single_value(headers, &TIME_LEFT)?.and_then(parse_decimal);
+    let time_left = seconds.map(|seconds| seconds * 1000.0);
+    let time_left = time_left.filter(|time_left| *time_left > 0.0 && *time_left <= MAX_TIME_LEFT);
+    let time_left = time_left.ok_or(RequestError::InvalidTimeLeft)?;
+    Ok(if class.deadline > 0.0 { time_left.min(class.deadline) } else { time_left })
+}
+
+fn parse_quota_header(headers: &HeaderMap, settings: &Settings) -> Result<Quota, RequestError> {
+    let limits = QuotaLimits::from_settings(settings);
+    let quota = single_value(headers, &QUOTA)?.and_then(|text| parse_quota(text, limits));
+    quota.ok_or(RequestError::InvalidQuota)
+}
+
+/// The tenant in a query: 16 hexadecimal digits, once.
+fn parse_tenant(query: &str) -> Option<TenantId> {
+    let mut values = query.split('&').filter_map(|pair| pair.strip_prefix("customer="));
+    let is_tenant = |v: &&str| v.len() == TENANT_ID_DIGITS && v.bytes().all(|b| b.is_ascii_hexdigit());
+    let value = values.next().filter(is_tenant)?;
+    let number = u64::from_str_radix(value, 16).ok().filter(|number| *number < TENANT_ID_LIMIT)?;
+    values.next().is_none().then_some(TenantId(number))
+}
+
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = HeaderMap::with_capacity(8);
+    for name in [CORRELATION_ID, IDEMPOTENCY_KEY, SERVICE_CLASS, PLAN, CONTENT_TYPE] {
+        if let Some(value) = headers.get(&name) {
+            forwarded.insert(name, value.clone());
+        }
+    }
+    forwarded
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/client_request_parser.rs"]
+mod tests;
--- /dev/null
+++ b/src/net/client/response.rs
@@ -0,0 +1,65 @@
+//! Builds the responses to clients.
+
+use super::request_error::RequestError;
+use crate::ids::Millis;
+use crate::net::event_loop::Answer;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+
+/// A response to a client; its body is in memory.
+pub type ClientResponse = Response<Full<Bytes>>;
+
+/// The response to an admitted request.
+pub fn from_answer(answer: Answer) -> ClientResponse {
+    match answer {
+        Answer::Served(body) => Response::new(Full::new(body)),
+        Answer::Refused(retry_after) => rejected(retry_after),
+        Answer::Failed => plain_text(StatusCode::BAD_GATEWAY, "no answer from the servers\n"),
+        Answer::TimedOut => plain_text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+    }
+}
+
+/// The response to an invalid request. It ends the connection: what follows such a request may be anything.
+pub fn from_error(error: RequestError) -> ClientResponse {
+    let mut response = plain_text(error.status(), error.response_text());
+    announce_close(&mut response);
+    response
+}
+
+/// The response to a health check.
+pub fn health(is_ready: bool) -> ClientResponse {
+    if is_ready {
+        plain_text(StatusCode::OK, "ok\n")
+    } else {
+        plain_text(StatusCode::SERVICE_UNAVAILABLE, "starting\n")
+    }
+}
+
+/// The response to a request that arrives when there is no time left to serve it.
+pub fn shutting_down() -> ClientResponse {
+    plain_text(StatusCode::SERVICE_UNAVAILABLE, "ending\n")
+}
+
+/// Tells the client that the connection closes after this response; the HTTP server then closes it.
+pub fn announce_close(response: &mut ClientResponse) {
+    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+}
+
+/// `retry_after` is in ms; 0 if the client is told no time.
+fn rejected(retry_after: Millis) -> ClientResponse {
+    let mut response = plain_text(StatusCode::TOO_MANY_REQUESTS, "over the quota or too busy\n");
+    if retry_after > 0.0 {
+        if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after / 1000.0)) {
+            response.headers_mut().insert(RETRY_AFTER, seconds);
+        }
+    }
+    response
+}
+
+fn plain_text(status: StatusCode, text: &'static str) -> ClientResponse {
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
+    *response.status_mut() = status;
+    response
+}
