--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,6 +12,3 @@
 pub use error::{ConfigError, SettingsError};
 pub use file::{Config, Limits, Names};
 pub use settings_reader::parse_settings;
-
-// Earlier name, until the other modules use the new one.
-pub use error::SettingsError as WireError;
--- a/src/net/client/disconnect.rs
+++ b/src/net/client/disconnect.rs
@@ -48,7 +48,7 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.event_loop.client_gone(self.id);
+            self.event_loop.client_disconnected(self.id);
         }
     }
 }
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -80,7 +80,7 @@
     }
 
     /// From now on responses close their connections, so that clients move on.
-    pub fn stop(&self) {
+    pub fn start_draining(&self) {
         self.handler.start_draining();
     }
 
@@ -93,12 +93,12 @@
     }
 
     /// From now on requests are rejected at once: there is no time left to serve them.
-    pub fn refuse_all(&self) {
+    pub fn reject_all(&self) {
         self.handler.start_rejecting();
     }
 
     /// Number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.count()
     }
 }
--- a/src/net/client/request_handler.rs
+++ b/src/net/client/request_handler.rs
@@ -9,7 +9,7 @@
 use super::response::{self, ClientResponse};
 use crate::net::event_loop::{Answer, Arrival, EventLoop};
 use crate::net::socket::is_closed_by_peer;
-use crate::net::upstream::Forward;
+use crate::net::upstream::ForwardedRequest;
 use hyper::body::Incoming;
 use hyper::Request;
 use std::cell::Cell;
@@ -86,7 +86,7 @@
         }
         check_body(&head.method, &body)?;
         let _in_flight_id = self.in_flight_ids.reserve(validated.correlation_id)?;
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: head.method,
             uri: origin_form(head.uri),
             headers: validated.forwarded_headers,
@@ -101,7 +101,7 @@
     /// Hands a request to the event loop and waits for its answer. If the client disconnects meanwhile, the
     /// connection's task drops this future, and the guard reports it.
     async fn admit(&self, arrival: Arrival, connection: &Connection) -> Answer {
-        let (id, answer) = self.event_loop.arrive(arrival);
+        let (id, answer) = self.event_loop.submit(arrival);
         let disconnect_guard = DisconnectGuard::new(&self.event_loop, id);
         let answer = match answer.await {
             Ok(answer) => answer,
--- a/src/net/client/response.rs
+++ b/src/net/client/response.rs
@@ -15,7 +15,7 @@
 pub fn from_answer(answer: Answer) -> ClientResponse {
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
-        Answer::Refused(retry_after) => rejected(retry_after),
+        Answer::Rejected { retry_after } => rejected(retry_after),
         Answer::Failed => plain_text(StatusCode::BAD_GATEWAY, "no answer from the servers\n"),
         Answer::TimedOut => plain_text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
     }
--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -6,9 +6,9 @@
 use super::protocol::Increment;
 use super::reconnect::Reconnector;
 use crate::event::Outcome;
-use crate::ids::{CounterKey, Millis};
+use crate::ids::Millis;
 use crate::net::event_sink::EventSink;
-use crate::net::keep_running;
+use crate::net::supervisor::keep_running;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -81,24 +81,3 @@
         self.connections.check_health(now, self.unresponsive_after);
     }
 }
-
-/// The names that the event loop still calls.
-impl CounterClient {
-    /// As [`CounterClient::increment`].
-    ///
-    /// # Errors
-    /// As there.
-    pub fn call(&self, key: CounterKey, amount: f64, ttl: Millis, now: Millis) -> Result<CallId, Outcome> {
-        self.increment(Increment { key, amount, ttl }, now)
-    }
-
-    /// As [`CounterClient::complete`]: the call's key and elapsed time, ms.
-    pub fn settle(&self, id: CallId, now: Millis) -> Option<(CounterKey, Millis)> {
-        self.complete(id, now).map(|call| (call.key, call.elapsed))
-    }
-
-    /// As [`CounterClient::check_connections`].
-    pub fn sweep(&self, now: Millis) {
-        self.check_connections(now);
-    }
-}
--- a/src/net/counter/mod.rs
+++ b/src/net/counter/mod.rs
@@ -16,6 +16,3 @@
 pub use calls::{CallId, CompletedCall};
 pub use client::CounterClient;
 pub use protocol::Increment;
-
-// The name that the event loop still uses.
-pub use client::CounterClient as Counter;
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -18,8 +18,3 @@
 pub use error::DiscoveryError;
 pub use json_framer::max_object_bytes;
 pub use watcher::{EndpointSink, WatcherHandle, WatcherLimits};
-
-// Earlier names, until the other modules use the new ones.
-pub use endpoint_list::{EndpointEntry as Member, EndpointList as ServerList};
-pub use json_framer::max_object_bytes as most_bytes;
-pub use watcher::{EndpointSink as Learn, WatcherHandle as Following, WatcherLimits as Bounds};
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -7,7 +7,7 @@
 use super::timing::{
     CallTiming, INITIAL_BACKOFF, OBJECT_TIMEOUT, STALE_WATCH_TIMEOUT, STALL_TIMEOUT, WATCH_IDLE_TIMEOUT,
 };
-use crate::net::keep_running;
+use crate::net::supervisor::keep_running;
 use std::convert::Infallible;
 use std::time::Duration;
 use tokio::task::AbortHandle;
@@ -16,7 +16,7 @@
 /// Takes in the lists that the agent sends.
 pub trait EndpointSink {
     /// Takes in a list. False where an entry cannot be decoded, so that what it changes is unknown.
-    fn learn(&self, list: &EndpointList<'_>) -> bool;
+    fn apply_endpoints(&self, list: &EndpointList<'_>) -> bool;
 }
 
 /// Limits of a watcher.
@@ -25,7 +25,7 @@
     /// How long after the notification of a drain an endpoint may still receive new requests.
     pub drain_grace: Duration,
     /// Bytes that one object may hold.
-    pub most_bytes: usize,
+    pub max_object_bytes: usize,
 }
 
 /// Runs the watcher of the agent that the configuration names. Dropped, it stops the watcher.
@@ -83,7 +83,7 @@
             sink,
             agent,
             timing: CallTiming::within(limits.drain_grace),
-            max_bytes: limits.most_bytes,
+            max_bytes: limits.max_object_bytes,
             revision: known,
             backoff: INITIAL_BACKOFF,
             stale_since: None,
@@ -181,7 +181,7 @@
     fn apply(&mut self, list: &EndpointList<'_>) -> bool {
         self.revision = Some(list.revision);
         self.backoff = INITIAL_BACKOFF;
-        self.sink.learn(list)
+        self.sink.apply_endpoints(list)
     }
 
     async fn call(&self, path: &str) -> Result<ResponseStream, DiscoveryError> {
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -1,6 +1,6 @@
 //! Addresses and states of the servers, as discovery reports them.
 
-use super::discovery::{Member, ServerList};
+use super::discovery::{EndpointEntry, EndpointList};
 use crate::event::{Endpoint, EndpointState, EndpointUpdate};
 use crate::ids::ServerId;
 use log::Level;
@@ -98,7 +98,7 @@
     }
 
     /// Takes in a list. Entries that cannot be used are logged and ignored.
-    pub fn apply(&mut self, list: &ServerList<'_>, update: EndpointUpdate) -> DecodedList {
+    pub fn apply(&mut self, list: &EndpointList<'_>, update: EndpointUpdate) -> DecodedList {
         let mut decoded = DecodedList { endpoints: Vec::new(), complete: true };
         for member in list.members() {
             match member.map_err(EndpointError::from).and_then(|member| self.register(&member)) {
@@ -116,7 +116,7 @@
         decoded
     }
 
-    fn register(&mut self, member: &Member<'_>) -> Result<Endpoint, EndpointError> {
+    fn register(&mut self, member: &EndpointEntry<'_>) -> Result<Endpoint, EndpointError> {
         let server = server_id(&member.id);
         let state = decode_state(member)?;
         if let Some(other) = self.endpoints.get(&server).filter(|other| other.id != member.id) {
@@ -144,7 +144,7 @@
     /// The address of an entry. A drain takes effect without one too: a known server then keeps its address.
     fn decode_address(
         &self,
-        member: &Member<'_>,
+        member: &EndpointEntry<'_>,
         server: ServerId,
         ready: bool,
     ) -> Result<SocketAddr, EndpointError> {
@@ -160,7 +160,7 @@
     }
 }
 
-fn decode_state(member: &Member<'_>) -> Result<EndpointState, EndpointError> {
+fn decode_state(member: &EndpointEntry<'_>) -> Result<EndpointState, EndpointError> {
     match member.phase.as_ref() {
         "Ready" => Ok(EndpointState::Ready),
         "Terminating" => Ok(EndpointState::Draining),
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -5,14 +5,14 @@
 //! of the event before it have been executed.
 
 use super::clock::Clock;
-use super::counter::Counter;
-use super::discovery::{Learn, ServerList};
+use super::counter::{CompletedCall, CounterClient, Increment};
+use super::discovery::{EndpointList, EndpointSink};
 use super::endpoint_registry::EndpointRegistry;
 use super::event_sink::EventSink;
 use super::request_table::{AttemptId, PendingRequest, RequestTable};
 use super::supervisor::keep_running;
 use super::timer_queue::{TimerKind, TimerQueue};
-use super::upstream::{AttemptOwner, Forward, Pool};
+use super::upstream::{AttemptOwner, ConnectionPool, ForwardedRequest, PoolSettings};
 use crate::action::Action;
 use crate::config::{Config, Names};
 use crate::event::{EndpointUpdate, Event, Outcome, Request};
@@ -44,7 +44,7 @@
     /// The request as the policy sees it; the event loop assigns its id.
     pub request: Request,
     /// What is sent to a server.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// The client's connection, which closes when the task that serves it drops it.
     pub client: Weak<TcpStream>,
 }
@@ -82,8 +82,8 @@
     timers: TimerQueue,
     ready: Cell<bool>,
     /// Connections to servers.
-    pub pool: Pool,
-    counter: Rc<Counter>,
+    pub pool: ConnectionPool,
+    counter: Rc<CounterClient>,
 }
 
 impl EventLoop {
@@ -105,11 +105,15 @@
             running: Cell::new(false),
             timers: TimerQueue::default(),
             ready: Cell::new(false),
-            pool: Pool::new(config.conn_idle, config.connect_timeout, max_upstream_connections),
-            counter: Rc::new(Counter::new(config.counter, counter_call_timeout)),
+            pool: ConnectionPool::new(PoolSettings {
+                server_idle_timeout: config.conn_idle,
+                connect_timeout: config.connect_timeout,
+                max_connections: max_upstream_connections,
+            }),
+            counter: Rc::new(CounterClient::new(config.counter, counter_call_timeout)),
         });
         if let Some(known) = config.known() {
-            event_loop.apply_endpoints(&known, EndpointUpdate::Cached);
+            event_loop.update_endpoints(&known, EndpointUpdate::Cached);
         }
         event_loop.timers.arm(event_loop.now() + IDLE_CHECK_INTERVAL, TimerKind::IdleCheck);
         event_loop
@@ -128,7 +132,7 @@
     }
 
     /// The counter service.
-    pub fn counter(&self) -> &Counter {
+    pub fn counter(&self) -> &CounterClient {
         &self.counter
     }
 
@@ -220,7 +224,7 @@
             Action::Forward { id, server, timeout } => {
                 self.start_attempt(id, server, Some(timeout).filter(|timeout| *timeout > 0.0));
             }
-            Action::Reject { id, retry_after } => self.answer(id, Answer::Refused(retry_after)),
+            Action::Reject { id, retry_after } => self.answer(id, Answer::Rejected { retry_after }),
             Action::Fail(id) => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
                 self.end_attempt(AttemptId { request: id, number: attempt }, Outcome::Cancelled);
@@ -234,7 +238,7 @@
 
     fn increment_counter(&self, key: CounterKey, add: f64, ttl: Millis) {
         let now = self.now();
-        match self.counter.call(key, add, ttl, now) {
+        match self.counter.increment(Increment { key, amount: add, ttl }, now) {
             Ok(call) => self.timers.arm(now + self.counter_call_timeout, TimerKind::CounterCall(call)),
             Err(outcome) => self.enqueue(Event::CounterReplied { key, outcome, elapsed: 0.0, total: 0.0 }),
         }
@@ -243,7 +247,7 @@
     // ---- Requests -----------------------------------------------------------------------------
 
     /// Takes on a request. Exactly one answer arrives on the channel, unless the client leaves before.
-    pub fn arrive(self: &Rc<Self>, arrival: Arrival) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub fn submit(self: &Rc<Self>, arrival: Arrival) -> (RequestId, oneshot::Receiver<Answer>) {
         let Arrival { mut request, forward, client } = arrival;
         let deadline = self.now() + request.time_left;
         let (pending, answer) = PendingRequest::new(forward, client, deadline);
@@ -260,7 +264,7 @@
     }
 
     /// The client has disconnected; its request needs no answer any more.
-    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
         if responder.is_some() {
             self.withdraw(id);
@@ -284,7 +288,7 @@
     }
 
     /// Answers all requests that have no answer yet as timed out, at the end of a shutdown.
-    pub fn fail_all(self: &Rc<Self>) {
+    pub fn time_out_all(self: &Rc<Self>) {
         let incomplete: Vec<RequestId> = self.requests.borrow().incomplete().collect();
         for id in incomplete {
             self.enforce_deadline(id);
@@ -294,21 +298,21 @@
     // ---- Servers ------------------------------------------------------------------------------
 
     /// Takes in a server list from discovery. False where an entry was ignored: the change it stands for is unknown.
-    pub fn servers_changed(self: &Rc<Self>, list: &ServerList<'_>) -> bool {
+    pub fn endpoints_changed(self: &Rc<Self>, list: &EndpointList<'_>) -> bool {
         let update = if list.complete { EndpointUpdate::Complete } else { EndpointUpdate::Incremental };
-        let complete = self.apply_endpoints(list, update);
+        let complete = self.update_endpoints(list, update);
         self.set_ready();
         complete
     }
 
     /// Whether a server may be sent new requests.
-    pub fn may_send(&self, server: ServerId) -> bool {
+    pub fn accepts_requests(&self, server: ServerId) -> bool {
         self.endpoints.borrow().is_ready(server)
     }
 
-    fn apply_endpoints(self: &Rc<Self>, list: &ServerList<'_>, update: EndpointUpdate) -> bool {
+    fn update_endpoints(self: &Rc<Self>, list: &EndpointList<'_>, update: EndpointUpdate) -> bool {
         let decoded = self.endpoints.borrow_mut().apply(list, update);
-        self.pool.keep_only(|server| self.may_send(server));
+        self.pool.retain_servers(|server| self.accepts_requests(server));
         self.dispatch(Event::EndpointsChanged { update, entries: decoded.endpoints });
         decoded.complete
     }
@@ -333,15 +337,15 @@
             TimerKind::Deadline(id) => self.enforce_deadline(id),
             TimerKind::CounterCall(call) => self.counter_call_timed_out(call),
             TimerKind::IdleCheck => {
-                self.pool.sweep(self.now());
-                self.counter.sweep(self.now());
+                self.pool.drop_expired(self.now());
+                self.counter.check_connections(self.now());
                 self.timers.arm(self.now() + IDLE_CHECK_INTERVAL, TimerKind::IdleCheck);
             }
         }
     }
 
     fn counter_call_timed_out(self: &Rc<Self>, call: u64) {
-        if let Some((key, elapsed)) = self.counter.settle(call, self.now()) {
+        if let Some(CompletedCall { key, elapsed }) = self.counter.complete(call, self.now()) {
             self.dispatch(Event::CounterReplied { key, outcome: Outcome::TimedOut, elapsed, total: 0.0 });
         }
     }
@@ -358,16 +362,16 @@
 }
 
 impl AttemptOwner for Rc<EventLoop> {
-    fn pool(&self) -> &Pool {
+    fn pool(&self) -> &ConnectionPool {
         &self.pool
     }
 
-    fn may_begin(&self, id: RequestId, server: ServerId) -> Result<(), Outcome> {
-        EventLoop::may_begin(self, id, server)
+    fn check_may_begin(&self, id: RequestId, server: ServerId) -> Result<(), Outcome> {
+        EventLoop::check_may_begin(self, id, server)
     }
 
-    fn may_send(&self, server: ServerId) -> bool {
-        EventLoop::may_send(self, server)
+    fn accepts_requests(&self, server: ServerId) -> bool {
+        EventLoop::accepts_requests(self, server)
     }
 
     fn attempt_ended(&self, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>) {
@@ -375,8 +379,8 @@
     }
 }
 
-impl Learn for Rc<EventLoop> {
-    fn learn(&self, list: &ServerList<'_>) -> bool {
-        self.servers_changed(list)
+impl EndpointSink for Rc<EventLoop> {
+    fn apply_endpoints(&self, list: &EndpointList<'_>) -> bool {
+        self.endpoints_changed(list)
     }
 }
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -6,7 +6,7 @@
 use crate::net::request_table::{AttemptId, PendingRequest};
 use crate::net::socket::is_closed_by_peer;
 use crate::net::timer_queue::TimerKind;
-use crate::net::upstream::{self, Job};
+use crate::net::upstream::{self, AttemptSpec};
 use bytes::Bytes;
 use std::num::NonZeroU32;
 use std::rc::Rc;
@@ -51,7 +51,7 @@
         server: ServerId,
         timeout: Option<Millis>,
         now: Millis,
-    ) -> Result<Job, Outcome> {
+    ) -> Result<AttemptSpec, Outcome> {
         let max_attempts = NonZeroU32::new(self.settings.max_attempts);
         if request.is_complete() || max_attempts.is_some_and(|max| u32::from(attempt.number) >= max.get()) {
             return Err(Outcome::NotSent);
@@ -62,7 +62,7 @@
             return Err(Outcome::NotSent);
         }
         let address = self.endpoints.borrow().address(server).ok_or(Outcome::ConnectFailed)?;
-        Ok(Job {
+        Ok(AttemptSpec {
             id: attempt.request,
             number: attempt.number,
             server,
@@ -80,15 +80,15 @@
     ///
     /// # Errors
     /// How the attempt ends if it may not begin.
-    pub fn may_begin(self: &Rc<Self>, id: RequestId, server: ServerId) -> Result<(), Outcome> {
+    pub fn check_may_begin(self: &Rc<Self>, id: RequestId, server: ServerId) -> Result<(), Outcome> {
         let client = self.requests.borrow().waiting_client(id);
         let client = client.ok_or(Outcome::NotSent)?;
         if client.upgrade().is_none_or(|client| is_closed_by_peer(&client)) {
-            self.client_gone(id);
+            self.client_disconnected(id);
             return Err(Outcome::NotSent);
         }
         // A draining server counts as unreachable.
-        if self.may_send(server) {
+        if self.accepts_requests(server) {
             Ok(())
         } else {
             Err(Outcome::ConnectFailed)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -24,5 +24,3 @@
 pub mod supervisor;
 pub mod timer_queue;
 pub mod upstream;
-
-pub use supervisor::keep_running;
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -1,6 +1,6 @@
 //! Requests that await their final answer, and the attempts made for them.
 
-use super::upstream::Forward;
+use super::upstream::ForwardedRequest;
 use crate::event::{Event, Outcome};
 use crate::ids::{Millis, RequestId, ServerId};
 use bytes::Bytes;
@@ -15,8 +15,11 @@
 pub enum Answer {
     /// A server's response body, unchanged.
     Served(Bytes),
-    /// Rejected without execution; a retry is harmless after this wait, ms.
-    Refused(Millis),
+    /// Rejected; a retry by the client is harmless.
+    Rejected {
+        /// When a retry makes sense, ms from now; 0: not told.
+        retry_after: Millis,
+    },
     /// Failed; may have been executed.
     Failed,
     /// The deadline has passed; may have been executed.
@@ -38,7 +41,7 @@
     /// Where the final answer goes; none once the request is complete.
     responder: Option<oneshot::Sender<Answer>>,
     /// What is sent to a server.
-    pub forward: Rc<Forward>,
+    pub forward: Rc<ForwardedRequest>,
     /// The client's connection.
     pub client: Weak<TcpStream>,
     /// When the client gives up; Unix time, ms.
@@ -57,7 +60,7 @@
 impl PendingRequest {
     /// A request without attempts, and where its final answer arrives.
     pub fn new(
-        forward: Forward,
+        forward: ForwardedRequest,
         client: Weak<TcpStream>,
         deadline: Millis,
     ) -> (Self, oneshot::Receiver<Answer>) {
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -2,7 +2,7 @@
 
 use super::client::ClientListener;
 use super::connection_limits::ConnectionLimits;
-use super::discovery::{most_bytes, Bounds, Following};
+use super::discovery::{max_object_bytes, WatcherHandle, WatcherLimits};
 use super::event_loop::EventLoop;
 use super::shutdown::{self, ShutdownSchedule};
 use super::signals::{ControlSignal, ControlSignals};
@@ -56,7 +56,7 @@
     config_path: String,
     event_loop: Rc<EventLoop>,
     clients: Rc<ClientListener>,
-    discovery: Following<SocketAddr>,
+    discovery: WatcherHandle<SocketAddr>,
     /// The longest deadline of a class, ms.
     max_deadline: Millis,
 }
@@ -97,10 +97,10 @@
         let (event_loop, clients) = (self.event_loop.clone(), self.clients.clone());
         log::info!(
             "shutting down: {} connections, {} requests in flight",
-            clients.open(),
+            clients.connection_count(),
             event_loop.requests_in_flight()
         );
-        clients.stop();
+        clients.start_draining();
         let schedule = ShutdownSchedule::new(start, self.max_deadline);
         let mut finished = pin!(shutdown::finish_requests(&event_loop, &clients, schedule));
         loop {
@@ -117,11 +117,13 @@
     }
 }
 
-fn start_discovery(config: &Config, event_loop: &Rc<EventLoop>) -> Following<SocketAddr> {
+fn start_discovery(config: &Config, event_loop: &Rc<EventLoop>) -> WatcherHandle<SocketAddr> {
     let known_revision = config.known().map(|list| list.revision);
-    let bounds =
-        Bounds { drain_grace: event_loop.drain_grace(), most_bytes: most_bytes(config.limits.memory_mb) };
-    Following::start(event_loop, config.discovery, known_revision, bounds)
+    let bounds = WatcherLimits {
+        drain_grace: event_loop.drain_grace(),
+        max_object_bytes: max_object_bytes(config.limits.memory_mb),
+    };
+    WatcherHandle::start(event_loop, config.discovery, known_revision, bounds)
 }
 
 /// Serves with the cached server list if discovery has none in time.
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -50,12 +50,12 @@
     while idle_polls < IDLE_POLLS && Instant::now() < schedule.fail_all_at {
         clients.close_idle();
         tokio::time::sleep(POLL_INTERVAL).await;
-        idle_polls = if clients.open() == 0 { idle_polls + 1 } else { 0 };
+        idle_polls = if clients.connection_count() == 0 { idle_polls + 1 } else { 0 };
     }
-    clients.refuse_all();
-    event_loop.fail_all();
+    clients.reject_all();
+    event_loop.time_out_all();
     let flush_until = Instant::now() + FLUSH_TIMEOUT;
-    while clients.open() > 0 && Instant::now() < flush_until {
+    while clients.connection_count() > 0 && Instant::now() < flush_until {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -22,10 +22,10 @@
     ///
     /// # Errors
     /// How the attempt has ended, if it may not.
-    fn may_begin(&self, id: RequestId, server: ServerId) -> Result<(), Outcome>;
+    fn check_may_begin(&self, id: RequestId, server: ServerId) -> Result<(), Outcome>;
 
     /// Whether a server may be sent new requests.
-    fn may_send(&self, server: ServerId) -> bool;
+    fn accepts_requests(&self, server: ServerId) -> bool;
 
     /// An attempt has ended, with the response's body if there was a response.
     fn attempt_ended(&self, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>);
@@ -97,7 +97,7 @@
 /// Where an attempt's connection came from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Origin {
-    Pool,
+    ConnectionPool,
     New,
 }
 
@@ -114,7 +114,7 @@
 async fn run<O: AttemptOwner + Clone + 'static>(owner: &O, spec: &AttemptSpec) -> AttemptResult {
     loop {
         // Before a connection is taken or opened, as a connection is closed when its attempt is given up.
-        if let Err(outcome) = owner.may_begin(spec.id, spec.server) {
+        if let Err(outcome) = owner.check_may_begin(spec.id, spec.server) {
             return AttemptResult::without_body(outcome);
         }
         let (mut connection, origin) = match obtain_connection(owner, spec).await {
@@ -125,10 +125,10 @@
             Ok(response) => return receive(owner, spec.server, connection, response).await,
             Err(SendError::AfterFirstByte(outcome)) => outcome,
             // The server had closed an idle connection; another one serves.
-            Err(_) if origin == Origin::Pool => continue,
+            Err(_) if origin == Origin::ConnectionPool => continue,
             Err(SendError::Closed) => Outcome::ConnectFailed,
             Err(SendError::NothingWritten) => {
-                owner.may_begin(spec.id, spec.server).err().unwrap_or(Outcome::ConnectFailed)
+                owner.check_may_begin(spec.id, spec.server).err().unwrap_or(Outcome::ConnectFailed)
             }
         };
         return AttemptResult::without_body(outcome);
@@ -140,7 +140,7 @@
     spec: &AttemptSpec,
 ) -> Result<(Connection, Origin), Outcome> {
     if let Some(connection) = owner.pool().take(spec.server, spec.address, owner.now()) {
-        return Ok((connection, Origin::Pool));
+        return Ok((connection, Origin::ConnectionPool));
     }
     let connection = owner.pool().connect(spec.address).await?;
     Ok((connection, Origin::New))
@@ -154,7 +154,7 @@
 ) -> Result<Response<Incoming>, SendError> {
     connection.sender.ready().await.map_err(|_| SendError::Closed)?;
     let (asked, id, server) = (owner.clone(), spec.id, spec.server);
-    connection.exchange.begin(Box::new(move || asked.may_begin(id, server).is_ok()));
+    connection.exchange.begin(Box::new(move || asked.check_may_begin(id, server).is_ok()));
     // Computed now, as the connection may have taken long to come up.
     let time_left = spec.ends - owner.now();
     let request = spec.forward.to_upstream(spec.address, time_left);
@@ -177,7 +177,7 @@
         Ok(received) => received,
         Err(outcome) => return AttemptResult::without_body(outcome),
     };
-    if received.keep_alive && owner.may_send(server) {
+    if received.keep_alive && owner.accepts_requests(server) {
         owner.pool().put(server, connection, owner.now());
     }
     AttemptResult { outcome: received.outcome, body: Some(received.body) }
--- a/src/net/upstream/instrumented_stream.rs
+++ b/src/net/upstream/instrumented_stream.rs
@@ -18,19 +18,19 @@
 #[derive(Default)]
 pub(super) struct ExchangeState {
     has_written: Cell<bool>,
-    may_begin: RefCell<Option<MayBegin>>,
+    check_may_begin: RefCell<Option<MayBegin>>,
 }
 
 impl ExchangeState {
-    /// A new request follows; `may_begin` is asked right before its first byte.
-    pub(super) fn begin(&self, may_begin: MayBegin) {
+    /// A new request follows; `check_may_begin` is asked right before its first byte.
+    pub(super) fn begin(&self, check_may_begin: MayBegin) {
         self.has_written.set(false);
-        self.may_begin.replace(Some(may_begin));
+        self.check_may_begin.replace(Some(check_may_begin));
     }
 
     /// The request has been answered or has failed.
     pub(super) fn end(&self) {
-        self.may_begin.replace(None);
+        self.check_may_begin.replace(None);
     }
 
     /// Whether any byte of the present request has been written, so that the server may execute it. Small
@@ -40,7 +40,7 @@
     }
 
     fn is_refused(&self) -> bool {
-        self.may_begin.borrow().as_ref().is_some_and(|may_begin| !may_begin())
+        self.check_may_begin.borrow().as_ref().is_some_and(|check_may_begin| !check_may_begin())
     }
 }
 
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -19,8 +19,3 @@
 pub use attempt::{attempt, AttemptOwner, AttemptSpec};
 pub use pool::{ConnectionPool, PoolSettings};
 pub use request::ForwardedRequest;
-
-// The names that other modules still use.
-pub use attempt::AttemptSpec as Job;
-pub use pool::ConnectionPool as Pool;
-pub use request::ForwardedRequest as Forward;
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -43,7 +43,7 @@
 
 impl ConnectionPool {
     /// An empty pool.
-    pub fn with_settings(settings: PoolSettings) -> Self {
+    pub fn new(settings: PoolSettings) -> Self {
         ConnectionPool {
             idle: RefCell::default(),
             limit: ConnectionLimit::new(settings.max_connections),
@@ -113,24 +113,6 @@
     }
 }
 
-/// The names that the event loop still calls.
-impl ConnectionPool {
-    /// As [`ConnectionPool::with_settings`].
-    pub fn new(server_idle_timeout: Millis, connect_timeout: Millis, max_connections: usize) -> Self {
-        Self::with_settings(PoolSettings { server_idle_timeout, connect_timeout, max_connections })
-    }
-
-    /// As [`ConnectionPool::drop_expired`].
-    pub fn sweep(&self, now: Millis) {
-        self.drop_expired(now);
-    }
-
-    /// As [`ConnectionPool::retain_servers`].
-    pub fn keep_only(&self, is_wanted: impl Fn(ServerId) -> bool) {
-        self.retain_servers(is_wanted);
-    }
-}
-
 #[cfg(test)]
 #[path = "../../../tests/unit/connection_pool.rs"]
 mod tests;
--- a/tests/unit/client.rs
+++ b/tests/unit/client.rs
@@ -83,7 +83,7 @@
             client.write_all(&[b"nonsense\r\n\r\n".as_slice(), &[b'x'; 20_000]].concat()).expect("sent");
             assert!(read_status_line(&client).await.starts_with("HTTP/1.1 400"));
             assert_eq!(
-                client_listener.open(),
+                client_listener.connection_count(),
                 1,
                 "closed over unread bytes before the response had time to arrive"
             );
@@ -100,13 +100,13 @@
                 }
             } else {
                 let closed = async {
-                    while client_listener.open() > 0 {
+                    while client_listener.connection_count() > 0 {
                         tokio::time::sleep(Duration::from_millis(5)).await;
                     }
                 };
                 tokio::time::timeout(Duration::from_secs(20), closed).await.expect("a close");
             }
-            assert_eq!(client_listener.open(), 0);
+            assert_eq!(client_listener.connection_count(), 0);
         }
     });
 }
@@ -120,7 +120,7 @@
         for _ in 0..2 {
             client.write_all(HEALTH_CHECK).expect("sent");
             assert!(read_status_line(&client).await.starts_with("HTTP/1.1 503"), "it knows no servers");
-            assert_eq!(client_listener.open(), 1);
+            assert_eq!(client_listener.connection_count(), 1);
             // No await before the next request is sent: the close has been decided, and the runtime has not heard
             // of the bytes.
             client_listener.close_idle();
--- a/tests/unit/connection_pool.rs
+++ b/tests/unit/connection_pool.rs
@@ -11,7 +11,7 @@
 const SERVER_IDLE_TIMEOUT: Millis = 15_000.0;
 
 fn pool(max_connections: usize) -> ConnectionPool {
-    ConnectionPool::with_settings(PoolSettings {
+    ConnectionPool::new(PoolSettings {
         server_idle_timeout: SERVER_IDLE_TIMEOUT,
         connect_timeout: 1000.0,
         max_connections,
--- a/tests/unit/endpoint_registry.rs
+++ b/tests/unit/endpoint_registry.rs
@@ -4,7 +4,7 @@
 
 fn apply(registry: &mut EndpointRegistry, members: &str, update: EndpointUpdate) -> DecodedList {
     let text = format!("{{\"revision\":1,\"members\":[{members}]}}");
-    let list: ServerList<'_> = serde_json::from_str(&text).expect("a list");
+    let list: EndpointList<'_> = serde_json::from_str(&text).expect("a list");
     registry.apply(&list, update)
 }
 
--- a/tests/unit/endpoint_watcher.rs
+++ b/tests/unit/endpoint_watcher.rs
@@ -232,11 +232,11 @@
 }
 
 impl EndpointSink for RecordingSink {
-    fn learn(&self, list: &EndpointList<'_>) -> bool {
-        let decoded = self.event_loop.servers_changed(list);
+    fn apply_endpoints(&self, list: &EndpointList<'_>) -> bool {
+        let decoded = self.event_loop.endpoints_changed(list);
         if list.revision >= 2 {
             // From here on nothing new goes to it, whatever is under way.
-            assert!(!self.event_loop.may_send(ServerId(1)));
+            assert!(!self.event_loop.accepts_requests(ServerId(1)));
             self.drained.borrow_mut().get_or_insert(Instant::now());
         }
         decoded
@@ -248,7 +248,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let config = Config::parse(CONFIG).expect("a configuration");
     let event_loop = EventLoop::new(&config, 16);
-    let limits = WatcherLimits { drain_grace: event_loop.drain_grace(), most_bytes: max_object_bytes(192.0) };
+    let limits =
+        WatcherLimits { drain_grace: event_loop.drain_grace(), max_object_bytes: max_object_bytes(192.0) };
     let sink = RecordingSink { event_loop, drained: Rc::default() };
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), run(sink, limits))
 }
--- a/tests/unit/instrumented_stream.rs
+++ b/tests/unit/instrumented_stream.rs
@@ -63,14 +63,14 @@
 fn nothing_is_written_for_an_attempt_that_may_not_begin_any_more() {
     let runtime = runtime();
     let (_listener, address) = listen();
-    for may_begin in [true, false] {
+    for check_may_begin in [true, false] {
         runtime.block_on(async {
             let stream = connect(address).await;
             let mut stream = InstrumentedStream::new(ClosableSocket::new(stream), Rc::default());
-            stream.exchange.begin(Box::new(move || may_begin));
+            stream.exchange.begin(Box::new(move || check_may_begin));
             let written = write_first_bytes(&mut stream);
-            assert_eq!(matches!(written, Poll::Ready(Ok(3))), may_begin, "{written:?}");
-            assert_eq!(stream.exchange.has_written(), may_begin);
+            assert_eq!(matches!(written, Poll::Ready(Ok(3))), check_may_begin, "{written:?}");
+            assert_eq!(stream.exchange.has_written(), check_may_begin);
         });
     }
 }
--- a/tests/unit/request_table.rs
+++ b/tests/unit/request_table.rs
@@ -4,7 +4,7 @@
 use hyper::{HeaderMap, Method, Uri};
 
 fn pending() -> (PendingRequest, oneshot::Receiver<Answer>) {
-    let forward = Forward {
+    let forward = ForwardedRequest {
         method: Method::GET,
         uri: Uri::from_static("/"),
         headers: HeaderMap::new(),
