--- a/capacity/src/stub_peers/client.rs
+++ b/capacity/src/stub_peers/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection, to a gateway or straight to a server.
 
-use super::read_head;
+use super::connection::read_head;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
--- a/capacity/src/stub_peers/discovery.rs
+++ b/capacity/src/stub_peers/discovery.rs
@@ -1,6 +1,6 @@
 //! A discovery agent with one endpoint list.
 
-use super::{listen, read_head};
+use super::connection::{listen, read_head};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/capacity/src/stub_peers/server.rs
+++ b/capacity/src/stub_peers/server.rs
@@ -1,6 +1,6 @@
 //! A server that answers every request with a few bytes.
 
-use super::{listen, read_head};
+use super::connection::{listen, read_head};
 use std::io::{BufReader, Write};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -22,7 +22,7 @@
     pub(super) sender: SendRequest<Full<Bytes>>,
     socket: ClosableSocket,
     pub(super) exchange: Rc<ExchangeState>,
-    driver: AbortHandle,
+    io_task: AbortHandle,
     address: SocketAddr,
     /// Last, so that the place is given back after the socket has been closed.
     _permit: ConnectionPermit,
@@ -45,12 +45,12 @@
         let io = TokioIo::new(InstrumentedStream::new(socket.clone(), exchange.clone()));
         let handshake = http1::Builder::new().max_buf_size(READ_BUFFER).handshake(io).await;
         let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
-        let driver = tokio::task::spawn_local(async move {
+        let io_task = tokio::task::spawn_local(async move {
             // The attempt in flight sees how the connection ends.
             let _ = connection.await;
         });
-        let driver = driver.abort_handle();
-        Ok(Connection { sender, socket, exchange, driver, address, _permit: permit })
+        let io_task = io_task.abort_handle();
+        Ok(Connection { sender, socket, exchange, io_task, address, _permit: permit })
     }
 
     /// The server's address.
@@ -66,7 +66,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.io_task.abort();
         self.socket.close();
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -31,7 +31,10 @@
     let at_in_flight_limit = tenant.is_at_in_flight_limit();
     match &mut tenant.usage {
         Usage::Batched(_) if ceiling_is_short || at_in_flight_limit => Admission::Queue,
-        Usage::Batched(usage) => usage.admit(now, units, roll),
+        Usage::Batched(usage) => match usage.admit(now, units, roll) {
+            true => Admission::Admit,
+            false => Admission::Reject,
+        },
         Usage::LowTraffic(usage) => {
             let counter_wait = COUNTER_WAIT_SHARE * in_flight.class.latency_objective;
             let check = &mut in_flight.quota_check;
@@ -39,7 +42,7 @@
                 return Admission::Queue;
             }
             if !check.admitted {
-                check.admitted = usage.admit(now, check, roll) == Admission::Admit;
+                check.admitted = usage.admit(now, check, roll);
             }
             match check.admitted {
                 true if ceiling_is_short => Admission::Queue,
--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -4,12 +4,11 @@
 //! Source: the sliding-window rate limiter of the paper named in `docs/GLOSSARY.md`. Requests are rejected
 //! with probability 1 − rate / perceived rate, and all of them past a hard multiple of the quota.
 
-use super::admission::Admission;
 use super::counter_health::is_congested;
 use super::counter_key::{counter_key, span_at};
+use super::quota::{Quota, HARD_LIMIT_FACTOR};
 use super::sliding_window::{Decision, SlidingWindow};
 use super::tally::{RemoteUnits, Tally};
-use super::tenant::Quota;
 use crate::ids::{CounterKey, Millis, TenantId};
 
 /// Width of a bucket of the window, ms: a sixteenth of a window of some seconds, so that it ages in small
@@ -25,9 +24,6 @@
 const MAX_BATCH_FACTOR: f64 = 4.0;
 /// How much of the backoff, as an exponent, a tenant at its quota is spared: its stale usage costs most.
 const NEAR_QUOTA_RELIEF: f64 = 0.8;
-/// Multiple of the quota past which all is rejected. Close to 1, as what passes beyond the quota earns
-/// nothing.
-pub(super) const HARD_LIMIT_FACTOR: f64 = 1.05;
 /// Share of the burst kept back for what other gateways have forwarded unseen, once demand exceeds the quota.
 const QUOTA_RESERVE: f64 = 0.15;
 /// How long a suppression factor is used before it is computed anew, ms.
@@ -151,10 +147,10 @@
 
     // ---- Admission ----------------------------------------------------------------------------
 
-    /// Decides on a request of so many units; `roll` is a uniform draw from 0 to 1.
-    pub(super) fn admit(&mut self, now: Millis, units: f64, roll: f64) -> Admission {
+    /// Whether the quota admits a request of so many units; `roll` is a uniform draw from 0 to 1.
+    pub(super) fn admit(&mut self, now: Millis, units: f64, roll: f64) -> bool {
         if self.quota.rate <= 0.0 {
-            return Admission::Admit;
+            return true;
         }
         let burst = self.quota.burst;
         let demand = self.window.demand_since(now - self.quota.window());
@@ -163,17 +159,15 @@
         let reserve = if demand >= burst { QUOTA_RESERVE * burst } else { 0.0 };
         let needed = units + reserve;
         if self.window.total(Decision::Accepted) + needed <= burst {
-            return Admission::Admit;
+            return true;
         }
         // The window forgets that the bucket refills meanwhile: after a burst it alone would reject what the
         // quota still holds.
         if self.bucket_level + needed <= burst {
-            return Admission::Admit;
+            return true;
         }
-        if demand >= burst * HARD_LIMIT_FACTOR || roll < self.suppression_probability(now) {
-            return Admission::Reject;
-        }
-        Admission::Admit
+        let past_hard_limit = demand >= burst * HARD_LIMIT_FACTOR;
+        !past_hard_limit && roll >= self.suppression_probability(now)
     }
 
     /// The suppression factor: 1 − rate / perceived rate.
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -1,24 +1,18 @@
 //! Calls to the counter service: which are made and when, and whom their replies concern.
 
 use super::batched_usage::SyncStatus;
-use super::counter_key::COUNTER_KEY_TTL;
+use super::counter_key::{KeyOwner, COUNTER_KEY_TTL};
+use super::gateway::Gateway;
 use super::low_traffic::LowTrafficUsage;
+use super::quota::Reservation;
 use super::random::uniform;
-use super::request::{InFlightRequest, Reservation};
+use super::request::InFlightRequest;
 use super::sliding_window::Decision;
 use super::tenant::{Tenant, Usage};
-use super::Gateway;
 use crate::action::Action;
 use crate::event::Outcome;
 use crate::ids::{CounterKey, Millis, RequestId, TenantId};
 
-/// Whose a call in flight is.
-#[derive(Clone, Copy)]
-pub(super) struct CallOwner {
-    tenant: TenantId,
-    decision: Decision,
-}
-
 impl Tenant {
     fn low_traffic_usage(&mut self) -> Option<&mut LowTrafficUsage> {
         match &mut self.usage {
@@ -37,7 +31,7 @@
         self.settings.counter && self.counter_health.allows_call(now)
     }
 
-    fn call_counter(&mut self, owner: CallOwner, key: CounterKey, add: f64) {
+    fn call_counter(&mut self, owner: KeyOwner, key: CounterKey, add: f64) {
         self.counter_calls.insert(key, owner);
         self.actions.push(Action::IncrementCounter { key, add, ttl: COUNTER_KEY_TTL });
     }
@@ -51,7 +45,7 @@
     ) {
         let Some(usage) = self.low_traffic_usage(tenant) else { return };
         usage.call_started(key, reserved_for);
-        self.call_counter(CallOwner { tenant, decision: Decision::Accepted }, key, add);
+        self.call_counter(KeyOwner { tenant, decision: Decision::Accepted }, key, add);
     }
 
     // ---- Outgoing calls -----------------------------------------------------------------------
@@ -72,7 +66,7 @@
                 SyncStatus::Idle => _ = self.unsynced.remove(&tenant_id),
                 SyncStatus::Calls(calls) => {
                     for call in calls {
-                        let owner = CallOwner { tenant: tenant_id, decision: call.decision };
+                        let owner = KeyOwner { tenant: tenant_id, decision: call.decision };
                         self.call_counter(owner, call.key, call.add);
                     }
                 }
@@ -157,7 +151,7 @@
         }
     }
 
-    fn low_traffic_call_ended(&mut self, now: Millis, owner: CallOwner, key: CounterKey, total: Option<f64>) {
+    fn low_traffic_call_ended(&mut self, now: Millis, owner: KeyOwner, key: CounterKey, total: Option<f64>) {
         let Some(usage) = self.low_traffic_usage(owner.tenant) else { return };
         let reserved_for = usage.call_ended(key);
         if usage.has_pending_call_of(key) {
--- a/src/policy/counter_key.rs
+++ b/src/policy/counter_key.rs
@@ -10,6 +10,13 @@
 /// Time after which the counter service forgets a key, ms: the longest that it allows.
 pub(super) const COUNTER_KEY_TTL: Millis = 60_000.0;
 
+/// Whose units a counter key holds.
+#[derive(Clone, Copy)]
+pub(super) struct KeyOwner {
+    pub(super) tenant: TenantId,
+    pub(super) decision: Decision,
+}
+
 /// Mixing constants of a 64-bit hash: the golden ratio, and the multiplier of the `xmx` mixer.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 const MIX_MULTIPLIER: u64 = 0xd6e8_feb8_6659_fd93;
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,7 +1,7 @@
 //! Hedged requests: a second attempt beside one that is so late that it is probably lost.
 
+use super::gateway::Gateway;
 use super::request::InFlightRequest;
-use super::Gateway;
 use crate::ids::{Millis, RequestId};
 
 /// A hedged request goes out after this many mean response times of its class: late, as it is for lost
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -13,12 +13,11 @@
 //! same room. It covers skewed traffic, spikes and restarts without memory; the cost is a call wherever no
 //! read is fresh.
 
-use super::admission::Admission;
-use super::batched_usage::{HARD_LIMIT_FACTOR, SYNC_INTERVAL};
+use super::batched_usage::SYNC_INTERVAL;
 use super::counter_key::{counter_key, span_at, COUNTER_KEY_SPAN};
-use super::request::{QuotaCheck, Reservation};
+use super::quota::{Quota, QuotaCheck, Reservation, HARD_LIMIT_FACTOR};
 use super::sliding_window::Decision;
-use super::tenant::Quota;
+
 use crate::ids::{CounterKey, Millis, RequestId, TenantId};
 use std::collections::VecDeque;
 
@@ -200,7 +199,7 @@
 
     /// Whether the quota admits a request: by its use as just read, or else by the recent rejection ratio.
     /// `roll` is a uniform draw from 0 to 1.
-    pub(super) fn admit(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> Admission {
+    pub(super) fn admit(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> bool {
         let burst = self.quota.burst;
         let admitted = match check.observed_usage {
             // Use over burst is the perceived rate over the rate, in a window of burst / rate.
@@ -210,11 +209,7 @@
         if check.observed_usage.is_some() {
             self.record_admission(now, admitted);
         }
-        if admitted {
-            Admission::Admit
-        } else {
-            Admission::Reject
-        }
+        admitted
     }
 
     /// Share of this tenant's requests that were rejected lately, 0 to 1.
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,6 +1,6 @@
 //! Requests that wait to be forwarded, and which of them are served first or shed.
 
-use super::Gateway;
+use super::gateway::Gateway;
 use crate::ids::{Millis, RequestId};
 
 /// Requests queued, as a share of the concurrency limit; past it those of least value are rejected early.
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,29 +1,11 @@
 //! A request that this gateway has taken, and its attempts.
 
-use super::HOUSEKEEPING_INTERVAL;
+use super::housekeeping::HOUSEKEEPING_INTERVAL;
+use super::quota::QuotaCheck;
 use crate::event::Request;
-use crate::ids::{CounterKey, Millis, ServerId};
+use crate::ids::{Millis, ServerId};
 use crate::settings::{Class, DeduplicationScope, Idempotency};
 
-/// Units reserved on the counter for a request, and for those that it stands for.
-#[derive(Clone, Copy)]
-pub(super) struct Reservation {
-    pub(super) key: CounterKey,
-    pub(super) units: f64,
-}
-
-/// How far the quota check of a low-traffic tenant's request has come.
-#[derive(Default)]
-pub(super) struct QuotaCheck {
-    /// The reply to its reservation is still to come.
-    pub(super) awaiting_counter: bool,
-    /// The quota admits it; it is not asked again.
-    pub(super) admitted: bool,
-    pub(super) reservation: Option<Reservation>,
-    /// The use of the quota with this request, as read from the counter; units.
-    pub(super) observed_usage: Option<f64>,
-}
-
 /// One attempt of a request.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,11 +1,12 @@
 //! The way of a request: arrival, admission, attempts, retries and the one final answer.
 
 use super::admission::{admit, Admission};
+use super::gateway::Gateway;
+use super::housekeeping::HOUSEKEEPING_INTERVAL;
 use super::random::uniform;
 use super::request::{Attempt, InFlightRequest};
 use super::sliding_window::Decision;
 use super::tenant::{Tenant, Usage};
-use super::{Gateway, HOUSEKEEPING_INTERVAL};
 use crate::action::Action;
 use crate::event::{Outcome, Request};
 use crate::ids::{ClassId, Millis, RequestId};
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -4,6 +4,7 @@
 use super::ceiling::CeilingBucket;
 use super::counter_key::COUNTER_KEY_SPAN;
 use super::low_traffic::LowTrafficUsage;
+use super::quota::Quota;
 use super::sliding_window::Decision;
 use crate::ids::Millis;
 use crate::settings::Plan;
@@ -17,24 +18,6 @@
 /// The same for a tenant with a ceiling.
 const LOW_TRAFFIC_SHARE_WITH_CEILING: f64 = 2.0;
 
-/// The quota of one tenant, over all its gateways.
-#[derive(Clone, Copy)]
-pub(super) struct Quota {
-    /// Refill of the token bucket, units a second.
-    pub(super) rate: f64,
-    /// Size of the token bucket, units.
-    pub(super) burst: f64,
-    /// Gateways that the tenant's requests come in through; at least 1.
-    pub(super) gateway_count: f64,
-}
-
-impl Quota {
-    /// Width of the sliding window, ms: in it the rate yields the burst.
-    pub(super) fn window(&self) -> Millis {
-        1000.0 * self.burst / self.rate
-    }
-}
-
 /// How a tenant's use of its quota is followed.
 pub(super) enum Usage {
     /// Counted here and told to the counter in batches.
