--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -31,7 +31,7 @@
     let at_in_flight_limit = tenant.is_at_in_flight_limit();
     match &mut tenant.usage {
         Usage::Batched(_) if ceiling_is_short || at_in_flight_limit => Admission::Queue,
-        Usage::Batched(usage) => match usage.admit(now, units, roll) {
+        Usage::Batched(usage) => match usage.admits(now, units, roll) {
             true => Admission::Admit,
             false => Admission::Reject,
         },
@@ -42,7 +42,7 @@
                 return Admission::Queue;
             }
             if !check.admitted {
-                check.admitted = usage.admit(now, check, roll);
+                check.admitted = usage.admits(now, check, roll);
             }
             match check.admitted {
                 true if ceiling_is_short => Admission::Queue,
--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -6,8 +6,9 @@
 
 use super::counter_health::is_congested;
 use super::counter_key::{counter_key, span_at};
+use super::disposition::Disposition;
 use super::quota::{Quota, HARD_LIMIT_FACTOR};
-use super::sliding_window::{Decision, SlidingWindow};
+use super::sliding_window::SlidingWindow;
 use super::tally::{RemoteUnits, Tally};
 use crate::ids::{CounterKey, Millis, TenantId};
 
@@ -45,7 +46,7 @@
 /// A counter call that is due.
 pub(super) struct DueCall {
     pub(super) key: CounterKey,
-    pub(super) decision: Decision,
+    pub(super) disposition: Disposition,
     /// Units to add; 0 only reads.
     pub(super) add: f64,
 }
@@ -64,12 +65,12 @@
 pub(super) struct BatchedUsage {
     quota: Quota,
     window: SlidingWindow,
-    accepted: Tally,
-    declined: Tally,
+    forwarded: Tally,
+    not_forwarded: Tally,
     last_sync: Millis,
     suppression: Option<Suppression>,
     /// Units missing from the tenant's token bucket.
-    bucket_level: f64,
+    bucket_deficit: f64,
     /// The counter has answered the first read, or failed it.
     first_read_done: bool,
     /// Units that other gateways are assumed to have accepted while the counter could not be read.
@@ -82,20 +83,20 @@
         BatchedUsage {
             quota,
             window: SlidingWindow::new(BUCKET_WIDTH),
-            accepted: Tally::new(span),
-            declined: Tally::new(span),
+            forwarded: Tally::new(span),
+            not_forwarded: Tally::new(span),
             last_sync: now,
             suppression: None,
-            bucket_level: 0.0,
+            bucket_deficit: 0.0,
             first_read_done: false,
             assumed_remote_units: 0.0,
         }
     }
 
-    fn tally(&mut self, decision: Decision) -> &mut Tally {
-        match decision {
-            Decision::Accepted => &mut self.accepted,
-            Decision::Declined => &mut self.declined,
+    fn tally(&mut self, disposition: Disposition) -> &mut Tally {
+        match disposition {
+            Disposition::Forwarded => &mut self.forwarded,
+            Disposition::NotForwarded => &mut self.not_forwarded,
         }
     }
 
@@ -104,7 +105,7 @@
     /// Ages the window and drains the bucket by what the rate yields in `seconds`.
     pub(super) fn advance_to(&mut self, now: Millis, seconds: f64) {
         self.window.drop_before(now - self.quota.window());
-        self.bucket_level = (self.bucket_level - seconds * self.quota.rate).max(0.0);
+        self.bucket_deficit = (self.bucket_deficit - seconds * self.quota.rate).max(0.0);
     }
 
     /// Counts a request of this gateway.
@@ -115,40 +116,40 @@
     pub(super) fn record(
         &mut self,
         now: Millis,
-        decision: Decision,
+        disposition: Disposition,
         units: f64,
         max_cache_age: Option<Millis>,
     ) {
-        let age = now - self.accepted.read_at();
+        let age = now - self.forwarded.read_at();
         let stale = max_cache_age.is_some_and(|max_age| age >= max_age);
         let fleet_units = if stale { units / self.local_share() } else { units };
-        self.add(decision, now, fleet_units);
-        if decision == Decision::Accepted {
-            self.window.note_accepted_here(now, units);
+        self.add(disposition, now, fleet_units);
+        if disposition == Disposition::Forwarded {
+            self.window.note_forwarded_here(now, units);
             self.assumed_remote_units += fleet_units - units;
         }
-        self.tally(decision).add_unsent(units);
+        self.tally(disposition).add_unsent(units);
     }
 
-    fn add(&mut self, decision: Decision, at: Millis, units: f64) {
-        self.window.add(decision, at, units);
-        if decision == Decision::Accepted {
-            self.bucket_level = (self.bucket_level + units).min(self.quota.burst);
+    fn add(&mut self, disposition: Disposition, at: Millis, units: f64) {
+        self.window.add(disposition, at, units);
+        if disposition == Disposition::Forwarded {
+            self.bucket_deficit = (self.bucket_deficit + units).min(self.quota.burst);
         }
     }
 
     /// This gateway's share of the tenant, smoothed towards an even share where little was seen.
     fn local_share(&self) -> f64 {
         let gateway_count = self.quota.gateway_count;
-        let share =
-            (self.window.accepted_here() + 1.0) / (self.window.total(Decision::Accepted) + gateway_count);
+        let share = (self.window.forwarded_here() + 1.0)
+            / (self.window.total(Disposition::Forwarded) + gateway_count);
         share.clamp(MIN_EVEN_SHARE / gateway_count, 1.0)
     }
 
     // ---- Admission ----------------------------------------------------------------------------
 
     /// Whether the quota admits a request of so many units; `roll` is a uniform draw from 0 to 1.
-    pub(super) fn admit(&mut self, now: Millis, units: f64, roll: f64) -> bool {
+    pub(super) fn admits(&mut self, now: Millis, units: f64, roll: f64) -> bool {
         if self.quota.rate <= 0.0 {
             return true;
         }
@@ -158,12 +159,12 @@
         // lasting, and takes up what the other gateways have forwarded unseen.
         let reserve = if demand >= burst { QUOTA_RESERVE * burst } else { 0.0 };
         let needed = units + reserve;
-        if self.window.total(Decision::Accepted) + needed <= burst {
+        if self.window.total(Disposition::Forwarded) + needed <= burst {
             return true;
         }
         // The window forgets that the bucket refills meanwhile: after a burst it alone would reject what the
         // quota still holds.
-        if self.bucket_level + needed <= burst {
+        if self.bucket_deficit + needed <= burst {
             return true;
         }
         let past_hard_limit = demand >= burst * HARD_LIMIT_FACTOR;
@@ -186,14 +187,14 @@
 
     /// Units that have to refill before so many can be admitted.
     pub(super) fn units_short_of(&self, units: f64) -> f64 {
-        (self.bucket_level + units - self.quota.burst).max(0.0)
+        (self.bucket_deficit + units - self.quota.burst).max(0.0)
     }
 
     // ---- Synchronisation with the counter -----------------------------------------------------
 
     /// A reply of the counter is still to come.
     pub(super) fn has_pending_calls(&self) -> bool {
-        self.accepted.has_pending_calls() || self.declined.has_pending_calls()
+        self.forwarded.has_pending_calls() || self.not_forwarded.has_pending_calls()
     }
 
     /// The backoff of this tenant's calls: one far from its quota gives way to those near it.
@@ -205,12 +206,12 @@
     /// What is to be told to the counter now. The first call also reads what other gateways have told; while
     /// the counter is congested it waits until the tenant's use could matter.
     pub(super) fn sync(&mut self, now: Millis, tenant: TenantId, backoff_factor: f64) -> SyncStatus {
-        let unsent = self.accepted.unsent() + self.declined.unsent();
+        let unsent = self.forwarded.unsent() + self.not_forwarded.unsent();
         let backoff = self.backoff_factor(backoff_factor);
         let batch = SYNC_SHARE * self.quota.burst;
         let waited = now - self.last_sync;
         let first_read =
-            !self.first_read_done && !self.accepted.is_awaiting_reply() && unsent >= (backoff - 1.0) * batch;
+            !self.first_read_done && !self.forwarded.is_awaiting_reply() && unsent >= (backoff - 1.0) * batch;
         let flush = waited >= (SYNC_INTERVAL + FLUSH_INTERVAL) * backoff;
         let min_units = if flush { 0.0 } else { batch * backoff.min(MAX_BATCH_FACTOR) };
         let batch_due =
@@ -222,11 +223,11 @@
         // All keys end together, so a congested counter is spared the closing reads of tenants far from their
         // quota.
         let read_closing_keys = !first_read && !is_congested(backoff);
-        let declined = self.declined.unsent();
-        let declined_due = batch_due && declined > 0.0 && declined >= min_units;
-        let mut calls = self.begin_calls(Decision::Accepted, now, tenant, read_closing_keys);
-        if declined_due {
-            calls.extend(self.begin_calls(Decision::Declined, now, tenant, read_closing_keys));
+        let not_forwarded = self.not_forwarded.unsent();
+        let not_forwarded_due = batch_due && not_forwarded > 0.0 && not_forwarded >= min_units;
+        let mut calls = self.begin_calls(Disposition::Forwarded, now, tenant, read_closing_keys);
+        if not_forwarded_due {
+            calls.extend(self.begin_calls(Disposition::NotForwarded, now, tenant, read_closing_keys));
         }
         SyncStatus::Calls(calls)
     }
@@ -235,27 +236,27 @@
     /// the old key may be read once more, for what others added to it since the last read.
     fn begin_calls(
         &mut self,
-        decision: Decision,
+        disposition: Disposition,
         now: Millis,
         tenant: TenantId,
         read_closing_key: bool,
     ) -> Vec<DueCall> {
         let mut calls = Vec::new();
         let span = span_at(now);
-        let tally = self.tally(decision);
+        let tally = self.tally(disposition);
         if tally.is_awaiting_reply() {
             return calls;
         }
         if tally.span() != span {
-            let old_key = counter_key(tenant, decision, tally.span());
+            let old_key = counter_key(tenant, disposition, tally.span());
             if read_closing_key && !tally.has_closing_read() {
                 tally.begin_closing_read(old_key);
-                calls.push(DueCall { key: old_key, decision, add: 0.0 });
+                calls.push(DueCall { key: old_key, disposition, add: 0.0 });
             }
             tally.move_to_span(span);
         }
         let add = tally.begin_call();
-        calls.push(DueCall { key: counter_key(tenant, decision, span), decision, add });
+        calls.push(DueCall { key: counter_key(tenant, disposition, span), disposition, add });
         self.last_sync = now;
         calls
     }
@@ -266,12 +267,12 @@
         &mut self,
         now: Millis,
         key: CounterKey,
-        decision: Decision,
+        disposition: Disposition,
         total: Option<f64>,
         may_have_arrived: bool,
     ) {
         self.first_read_done = true;
-        let tally = self.tally(decision);
+        let tally = self.tally(disposition);
         let remote = if tally.ends_closing_read(key) {
             tally.end_closing_read(total)
         } else if let Some(total) = total {
@@ -281,14 +282,14 @@
             None
         };
         if let Some(remote) = remote {
-            self.distribute_remote_units(now, decision, remote);
+            self.distribute_remote_units(now, disposition, remote);
         }
     }
 
     /// Counts other gateways' units evenly over the time since the read before.
-    fn distribute_remote_units(&mut self, now: Millis, decision: Decision, remote: RemoteUnits) {
+    fn distribute_remote_units(&mut self, now: Millis, disposition: Disposition, remote: RemoteUnits) {
         let mut units = remote.units;
-        if decision == Decision::Accepted {
+        if disposition == Disposition::Forwarded {
             units -= units.min(self.assumed_remote_units);
             self.assumed_remote_units = 0.0;
         }
@@ -301,7 +302,7 @@
         let steps = ((now - start) / BUCKET_WIDTH).ceil().max(1.0);
         for step in 0..steps as i64 {
             let at = now - (step as f64 + 0.5) * (now - start) / steps;
-            self.add(decision, at, units / steps);
+            self.add(disposition, at, units / steps);
         }
     }
 }
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -2,12 +2,12 @@
 
 use super::batched_usage::SyncStatus;
 use super::counter_key::{KeyOwner, COUNTER_KEY_TTL};
+use super::disposition::Disposition;
 use super::gateway::Gateway;
 use super::low_traffic::LowTrafficUsage;
 use super::quota::Reservation;
 use super::random::uniform;
 use super::request::InFlightRequest;
-use super::sliding_window::Decision;
 use super::tenant::{Tenant, Usage};
 use crate::action::Action;
 use crate::event::Outcome;
@@ -45,7 +45,7 @@
     ) {
         let Some(usage) = self.low_traffic_usage(tenant) else { return };
         usage.call_started(key, reserved_for);
-        self.call_counter(KeyOwner { tenant, decision: Decision::Accepted }, key, add);
+        self.call_counter(KeyOwner { tenant, disposition: Disposition::Forwarded }, key, add);
     }
 
     // ---- Outgoing calls -----------------------------------------------------------------------
@@ -66,7 +66,7 @@
                 SyncStatus::Idle => _ = self.unsynced.remove(&tenant_id),
                 SyncStatus::Calls(calls) => {
                     for call in calls {
-                        let owner = KeyOwner { tenant: tenant_id, decision: call.decision };
+                        let owner = KeyOwner { tenant: tenant_id, disposition: call.disposition };
                         self.call_counter(owner, call.key, call.add);
                     }
                 }
@@ -145,7 +145,7 @@
                 tenant.advance_to(now);
                 if let Usage::Batched(usage) = &mut tenant.usage {
                     let may_have_arrived = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
-                    usage.call_ended(now, key, owner.decision, total, may_have_arrived);
+                    usage.call_ended(now, key, owner.disposition, total, may_have_arrived);
                 }
             }
         }
--- a/src/policy/counter_key.rs
+++ b/src/policy/counter_key.rs
@@ -1,7 +1,7 @@
 //! Names of the numbers that the counter service keeps for a tenant. A number lives for a limited span only,
 //! so that what is known of a tenant's use starts anew now and then and errors do not add up.
 
-use super::sliding_window::Decision;
+use super::disposition::Disposition;
 use crate::ids::{CounterKey, Millis, TenantId};
 
 /// Span of one counter key, ms: half of [`COUNTER_KEY_TTL`], so that a key can be read once more after its
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct KeyOwner {
     pub(super) tenant: TenantId,
-    pub(super) decision: Decision,
+    pub(super) disposition: Disposition,
 }
 
 /// Mixing constants of a 64-bit hash: the golden ratio, and the multiplier of the `xmx` mixer.
@@ -28,12 +28,12 @@
 }
 
 /// The key of a tenant's units of one decision in a span. The same at every gateway.
-pub(super) fn counter_key(tenant: TenantId, decision: Decision, span: i64) -> CounterKey {
-    let decision_bit = match decision {
-        Decision::Accepted => 0,
-        Decision::Declined => 1,
+pub(super) fn counter_key(tenant: TenantId, disposition: Disposition, span: i64) -> CounterKey {
+    let disposition_bit = match disposition {
+        Disposition::Forwarded => 0,
+        Disposition::NotForwarded => 1,
     };
-    let mut hash = tenant.0.wrapping_mul(GOLDEN_RATIO) ^ ((span as u64) << 1 | decision_bit);
+    let mut hash = tenant.0.wrapping_mul(GOLDEN_RATIO) ^ ((span as u64) << 1 | disposition_bit);
     for _ in 0..MIX_ROUNDS {
         hash = (hash ^ (hash >> 31)).wrapping_mul(MIX_MULTIPLIER);
     }
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -97,7 +97,7 @@
                 self.attempt_ended(now, id, attempt, outcome, complete);
             }
             Event::ResponseStarted { id, .. } => self.response_started(id),
-            Event::ClientDisconnected(id) => self.complete(now, id),
+            Event::ClientDisconnected(id) => self.finish(now, id),
             Event::Timer(_) => self.run_housekeeping(now),
             // No health check is ever asked for.
             Event::HealthChecked { .. } => {}
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -15,8 +15,8 @@
 
 use super::batched_usage::SYNC_INTERVAL;
 use super::counter_key::{counter_key, span_at, COUNTER_KEY_SPAN};
+use super::disposition::Disposition;
 use super::quota::{Quota, QuotaCheck, Reservation, HARD_LIMIT_FACTOR};
-use super::sliding_window::Decision;
 
 use crate::ids::{CounterKey, Millis, RequestId, TenantId};
 use std::collections::VecDeque;
@@ -103,7 +103,7 @@
     fn key_span(&self, tenant: TenantId, now: Millis) -> KeySpan {
         let phase = (tenant.0 % SPAN_STEPS) as f64 / SPAN_STEPS as f64 * COUNTER_KEY_SPAN;
         let shifted = now + phase;
-        let key = counter_key(tenant, Decision::Accepted, span_at(shifted));
+        let key = counter_key(tenant, Disposition::Forwarded, span_at(shifted));
         let yielded = self.quota.rate * shifted.rem_euclid(COUNTER_KEY_SPAN) / 1000.0;
         KeySpan { key, yielded }
     }
@@ -185,13 +185,13 @@
     ) -> ReservationReply {
         let present = self.key_span(tenant, now);
         let burst = self.quota.burst;
-        let others = total - reservation.units - present.yielded;
-        let used = others.max(0.0);
+        let net_usage = total - reservation.units - present.yielded;
+        let used = net_usage.max(0.0);
         self.cached_usage = Some(CachedUsage { read_at: now, units: used });
-        let lags = others < -MAX_LAG * burst;
-        let leads = others > MAX_LEAD * burst;
-        let target = if others < 0.0 { 0.0 } else { MAX_LEAD * burst };
-        let correction = (present.key == reservation.key && (lags || leads)).then_some(target - others);
+        let lags = net_usage < -MAX_LAG * burst;
+        let leads = net_usage > MAX_LEAD * burst;
+        let target = if net_usage < 0.0 { 0.0 } else { MAX_LEAD * burst };
+        let correction = (present.key == reservation.key && (lags || leads)).then_some(target - net_usage);
         ReservationReply { observed_usage: used + units, correction }
     }
 
@@ -199,7 +199,7 @@
 
     /// Whether the quota admits a request: by its use as just read, or else by the recent rejection ratio.
     /// `roll` is a uniform draw from 0 to 1.
-    pub(super) fn admit(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> bool {
+    pub(super) fn admits(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> bool {
         let burst = self.quota.burst;
         let admitted = match check.observed_usage {
             // Use over burst is the perceived rate over the rate, in a window of burst / rate.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -16,6 +16,7 @@
 mod counter_calls;
 mod counter_health;
 mod counter_key;
+mod disposition;
 mod endpoint_block;
 mod endpoint_health;
 mod endpoint_index;
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -26,13 +26,12 @@
         for (position, queued) in self.take_queue(now).into_iter().enumerate() {
             let id = queued.id;
             let limit = self.concurrency.limit();
-            let congested = !self.selector.subset_active() || self.concurrency.is_exhausted();
-            if congested && position as f64 > MAX_QUEUE_SHARE * limit {
+            // On a subset a request may wait for its server while the limit is not reached: that is no overload.
+            let is_bounded = !self.selector.subset_active() || self.concurrency.is_exhausted();
+            if is_bounded && position as f64 > MAX_QUEUE_SHARE * limit {
                 self.reject_or_fail(now, id);
-            } else if self.requests.get(&id).is_some_and(|in_flight| in_flight.attempts.is_empty()) {
+            } else {
                 self.decide(now, id);
-            } else if !self.forward(now, id) {
-                self.enqueue(id);
             }
         }
     }
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,11 +1,11 @@
 //! The way of a request: arrival, admission, attempts, retries and the one final answer.
 
 use super::admission::{admit, Admission};
+use super::disposition::Disposition;
 use super::gateway::Gateway;
 use super::housekeeping::HOUSEKEEPING_INTERVAL;
 use super::random::uniform;
 use super::request::{Attempt, InFlightRequest};
-use super::sliding_window::Decision;
 use super::tenant::{Tenant, Usage};
 use crate::action::Action;
 use crate::event::{Outcome, Request};
@@ -116,7 +116,7 @@
             tenant.attempt_started();
             if first && tenant.has_quota() {
                 let units = in_flight.request.units;
-                tenant.record(now, Decision::Accepted, units, self.counter_health.max_cache_age());
+                tenant.record(now, Disposition::Forwarded, units, self.counter_health.max_cache_age());
                 if let Usage::LowTraffic(usage) = &mut tenant.usage {
                     usage.record_forwarded(&in_flight.quota_check, units);
                 }
@@ -175,7 +175,7 @@
                 self.requests.remove(&id);
             }
         } else if complete {
-            self.complete(now, id);
+            self.finish(now, id);
         } else if !live {
             let retried = outcome != Outcome::Cancelled && self.retry(now, id);
             if !retried {
@@ -204,7 +204,7 @@
             Action::Fail(id)
         };
         self.queue.remove(&id);
-        self.complete(now, id);
+        self.finish(now, id);
         self.actions.push(action);
     }
 
@@ -219,7 +219,7 @@
 
     /// A request needs nothing more, for whatever reason: one that was never forwarded counts as declined,
     /// and attempts that are still live are cancelled.
-    pub(super) fn complete(&mut self, now: Millis, id: RequestId) {
+    pub(super) fn finish(&mut self, now: Millis, id: RequestId) {
         let Some(in_flight) = self.requests.get_mut(&id) else { return };
         in_flight.finished = true;
         if self.settings.cancellation_allowed && !in_flight.streaming {
@@ -228,7 +228,7 @@
             }
         }
         if in_flight.attempts.is_empty() {
-            self.record_declined(now, id);
+            self.record_not_forwarded(now, id);
         }
         if self.requests.get(&id).is_some_and(|in_flight| in_flight.live_attempts() == 0) {
             self.requests.remove(&id);
@@ -236,7 +236,7 @@
     }
 
     /// Counts a request that was never forwarded, and releases what was reserved for it.
-    fn record_declined(&mut self, now: Millis, id: RequestId) {
+    fn record_not_forwarded(&mut self, now: Millis, id: RequestId) {
         let Some(in_flight) = self.requests.get_mut(&id) else { return };
         let tenant_id = in_flight.request.tenant;
         let units = in_flight.request.units;
@@ -245,7 +245,7 @@
         if let Some(tenant) = self.tenants.get_mut(&tenant_id).filter(|tenant| tenant.has_quota()) {
             self.unsynced.insert(tenant_id);
             tenant.advance_to(now);
-            tenant.record(now, Decision::Declined, units, max_cache_age);
+            tenant.record(now, Disposition::NotForwarded, units, max_cache_age);
         }
         if let Some(reservation) = reservation {
             self.release_reservation(now, tenant_id, units, reservation);
--- a/src/policy/sliding_window.rs
+++ b/src/policy/sliding_window.rs
@@ -1,36 +1,27 @@
 //! A sliding window of unit counts in buckets of equal width.
 
+use super::disposition::Disposition;
 use crate::ids::Millis;
 use std::collections::VecDeque;
 
-/// What became of units that a tenant asked for. The two are counted apart, so that a counter reply that
-/// covers only one of them never makes the other inconsistent; a tenant's demand is their sum.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Decision {
-    /// Forwarded to a server.
-    Accepted,
-    /// Not forwarded, for whatever reason.
-    Declined,
-}
-
 /// Counts of one bucket of time.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
     /// Number of the bucket: its start over the width.
     index: i64,
     /// Accepted by this gateway.
-    accepted_here: f64,
+    forwarded_here: f64,
     /// Accepted by all gateways, as far as known.
-    accepted: f64,
+    forwarded: f64,
     /// Declined by all gateways, as far as known.
-    declined: f64,
+    not_forwarded: f64,
 }
 
 impl Bucket {
-    fn of(&self, decision: Decision) -> f64 {
-        match decision {
-            Decision::Accepted => self.accepted,
-            Decision::Declined => self.declined,
+    fn of(&self, disposition: Disposition) -> f64 {
+        match disposition {
+            Disposition::Forwarded => self.forwarded,
+            Disposition::NotForwarded => self.not_forwarded,
         }
     }
 }
@@ -61,17 +52,17 @@
     }
 
     /// Adds units that were decided on at a time, at any gateway.
-    pub(super) fn add(&mut self, decision: Decision, at: Millis, units: f64) {
+    pub(super) fn add(&mut self, disposition: Disposition, at: Millis, units: f64) {
         let bucket = self.bucket_at(at);
-        match decision {
-            Decision::Accepted => bucket.accepted += units,
-            Decision::Declined => bucket.declined += units,
+        match disposition {
+            Disposition::Forwarded => bucket.forwarded += units,
+            Disposition::NotForwarded => bucket.not_forwarded += units,
         }
     }
 
     /// Notes that units already added with [`SlidingWindow::add`] were accepted by this gateway.
-    pub(super) fn note_accepted_here(&mut self, at: Millis, units: f64) {
-        self.bucket_at(at).accepted_here += units;
+    pub(super) fn note_forwarded_here(&mut self, at: Millis, units: f64) {
+        self.bucket_at(at).forwarded_here += units;
     }
 
     fn bucket_at(&mut self, at: Millis) -> &mut Bucket {
@@ -84,24 +75,24 @@
     }
 
     /// Units of one decision in the window.
-    pub(super) fn total(&self, decision: Decision) -> f64 {
-        self.buckets.iter().map(|bucket| bucket.of(decision)).sum()
+    pub(super) fn total(&self, disposition: Disposition) -> f64 {
+        self.buckets.iter().map(|bucket| bucket.of(disposition)).sum()
     }
 
     /// Units of both decisions in the window.
     pub(super) fn demand(&self) -> f64 {
-        self.total(Decision::Accepted) + self.total(Decision::Declined)
+        self.total(Disposition::Forwarded) + self.total(Disposition::NotForwarded)
     }
 
     /// Units of both decisions in the buckets that began after `from`.
     pub(super) fn demand_since(&self, from: Millis) -> f64 {
         let last_excluded = self.index_at(from);
         let counted = self.buckets.iter().filter(|bucket| bucket.index > last_excluded);
-        counted.map(|bucket| bucket.accepted + bucket.declined).sum()
+        counted.map(|bucket| bucket.forwarded + bucket.not_forwarded).sum()
     }
 
     /// Units accepted by this gateway in the window.
-    pub(super) fn accepted_here(&self) -> f64 {
-        self.buckets.iter().map(|bucket| bucket.accepted_here).sum()
+    pub(super) fn forwarded_here(&self) -> f64 {
+        self.buckets.iter().map(|bucket| bucket.forwarded_here).sum()
     }
 }
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -3,9 +3,9 @@
 use super::batched_usage::BatchedUsage;
 use super::ceiling::CeilingBucket;
 use super::counter_key::COUNTER_KEY_SPAN;
+use super::disposition::Disposition;
 use super::low_traffic::LowTrafficUsage;
 use super::quota::Quota;
-use super::sliding_window::Decision;
 use crate::ids::Millis;
 use crate::settings::Plan;
 
@@ -93,15 +93,15 @@
     pub(super) fn record(
         &mut self,
         now: Millis,
-        decision: Decision,
+        disposition: Disposition,
         units: f64,
         max_cache_age: Option<Millis>,
     ) {
-        if decision == Decision::Accepted {
+        if disposition == Disposition::Forwarded {
             self.ceiling.spend(units);
         }
         if let Usage::Batched(usage) = &mut self.usage {
-            usage.record(now, decision, units, max_cache_age);
+            usage.record(now, disposition, units, max_cache_age);
         }
     }
 
