--- a/capacity/src/deployment.rs
+++ b/capacity/src/deployment.rs
@@ -132,7 +132,8 @@
         }
     }
 
-    /// The smallest plan that holds a tenant's share of the traffic, or the one below for those over their quota.
+    /// The smallest plan that holds a tenant's share of the traffic, or the one below for those over their
+    /// quota.
     fn plan_of(&self, rank: usize, share: f64) -> PlanId {
         let rate = (self.rate * share / MIN_PLAN_RATE).max(1.0);
         let sufficient = rate.log(PLAN_RATE_FACTOR).ceil() as usize;
--- a/capacity/src/policy_cost/mod.rs
+++ b/capacity/src/policy_cost/mod.rs
@@ -42,8 +42,8 @@
     report
 }
 
-/// As many gateways as the plan has for so many servers, each with its share of the plan's traffic, so that the
-/// concurrency limit of each stays the same.
+/// As many gateways as the plan has for so many servers, each with its share of the plan's traffic, so that
+/// the concurrency limit of each stays the same.
 fn measure_servers(report: &mut Report, servers: usize, seed: u64, seconds: f64) {
     let plan = Deployment::default();
     let gateways = (servers * plan.gateways).div_ceil(plan.servers);
--- a/capacity/src/process/latency.rs
+++ b/capacity/src/process/latency.rs
@@ -19,7 +19,8 @@
 const MAX_LATENCY: u64 = 60_000_000;
 const LATENCY_DIGITS: u8 = 3;
 
-/// Whose requests are sent. Each of a small tenant waits for the counter; calls for a large one are made beside.
+/// Whose requests are sent. Each of a small tenant waits for the counter; calls for a large one are made
+/// beside.
 #[derive(Clone, Copy)]
 struct TenantKind {
     plan: &'static str,
--- a/capacity/src/simulated_fleet/event.rs
+++ b/capacity/src/simulated_fleet/event.rs
@@ -1,5 +1,6 @@
-//! Events of the simulation. Those of the same microsecond happen in the order that is derived here, by variant
-//! and then field by field: another order of variants or fields gives other figures for the same seed.
+//! Events of the simulation. Those of the same microsecond happen in the order that is derived here, by
+//! variant and then field by field: another order of variants or fields gives other figures for the same
+//! seed.
 
 use rate_limiting_gateway::event::{Event, Outcome};
 use rate_limiting_gateway::ids::{CounterKey, RequestId};
--- a/capacity/src/simulated_fleet/fleet.rs
+++ b/capacity/src/simulated_fleet/fleet.rs
@@ -1,5 +1,5 @@
-//! The event loop of the simulation: arrivals and scheduled events go to the gateways, and the actions of these
-//! schedule further events.
+//! The event loop of the simulation: arrivals and scheduled events go to the gateways, and the actions of
+//! these schedule further events.
 
 use super::event::{AttemptEnd, CallResult, CounterReply, FleetEvent, ServerGroup};
 use super::figures::FleetCounts;
--- a/capacity/src/simulated_fleet/mod.rs
+++ b/capacity/src/simulated_fleet/mod.rs
@@ -1,5 +1,6 @@
-//! A discrete-event simulation of a whole fleet: its gateways' decisions on one simulated clock, with servers, an
-//! endpoint list and a counter. The same seed gives the same figures, except those of processor time and memory.
+//! A discrete-event simulation of a whole fleet: its gateways' decisions on one simulated clock, with
+//! servers, an endpoint list and a counter. The same seed gives the same figures, except those of processor
+//! time and memory.
 
 mod event;
 mod figures;
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,5 +1,5 @@
-//! Runs gateways for the simulator: frames come on standard input, replies go to standard output. Ends with the input;
-//! input that violates the protocol ends it with an error.
+//! Runs gateways for the simulator: frames come on standard input, replies go to standard output. Ends with
+//! the input; input that violates the protocol ends it with an error.
 
 use rate_limiting_gateway::simulator::Host;
 use std::io::{stdin, stdout, BufWriter};
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// Names that clients and discovery use, each at the index that the decision module uses. A name that is no string
-/// is empty.
+/// Names that clients and discovery use, each at the index that the decision module uses. A name that is no
+/// string is empty.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Classes of requests.
@@ -106,7 +106,7 @@
     pub conn_idle: f64,
     /// A connection that is not open within this, ms, has failed.
     pub connect_timeout: f64,
-    /// No new request may reach an endpoint this long, ms, after the notification of its drain.
+    /// From this long after the notification of its drain, ms, no new request may reach an endpoint.
     pub drain_grace: f64,
 }
 
@@ -120,8 +120,8 @@
         Config::parse(&text)
     }
 
-    /// The endpoint list as this gateway last had it. It may be old and is only where to begin: without it, or where
-    /// it cannot be decoded, discovery sends a complete one.
+    /// The endpoint list as this gateway last had it. It may be old and is only where to begin: without it,
+    /// or where it cannot be decoded, discovery sends a complete one.
     pub fn known(&self) -> Option<EndpointList<'_>> {
         serde_json::from_str(self.known.as_ref()?.get()).ok()
     }
--- a/src/config/key_values.rs
+++ b/src/config/key_values.rs
@@ -5,8 +5,9 @@
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// Settings by their dotted paths. A list of objects has its length under `.count` and its items under `.0`, `.1`
-/// and so on; a list of plain values is one value, joined by commas. Where a path occurs twice, the last one counts.
+/// Settings by their dotted paths. A list of objects has its length under `.count` and its items under `.0`,
+/// `.1` and so on; a list of plain values is one value, joined by commas. Where a path occurs twice, the last
+/// one counts.
 #[derive(Debug, Default)]
 pub(super) struct KeyValues<'a>(HashMap<Cow<'a, str>, Cow<'a, str>>);
 
@@ -86,8 +87,8 @@
         matches!(self.text(key).map(str::trim), Some("true" | "1"))
     }
 
-    /// The length of a list of objects. Bounded by the number of settings: a length out of nowhere would make the
-    /// reader allocate items that nobody has sent.
+    /// The length of a list of objects. Bounded by the number of settings: a length out of nowhere would make
+    /// the reader allocate items that nobody has sent.
     ///
     /// # Errors
     /// When the value is absent, no whole number or over that bound.
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -11,19 +11,21 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Longest time to receive a request whole, ms; also for the first bytes of a new connection. A client that makes
-/// no progress has to be let go within 3 s; the rest is for the reaper's interval.
+/// Longest time to receive a request whole, ms; also for the first bytes of a new connection. The protocol
+/// lets go of a client that makes no progress within 3 s; the idle reaper, which enforces this, runs at
+/// intervals.
 pub const READ_TIMEOUT: Millis = 2000.0;
 /// Longest time to write a response, ms, to a client that does not take it.
 const WRITE_TIMEOUT: Millis = READ_TIMEOUT;
 /// How long a connection is kept open between two requests, ms: some clients ask once and never close.
 const IDLE_TIMEOUT: Millis = 10_000.0;
-/// During a graceful shutdown a new connection is given this long for its first request, ms.
+/// During a graceful shutdown a new connection is given this long for its first request, ms; see the
+/// shutdown's `MIN_ACCEPT_PERIOD`.
 const NEW_CONNECTION_GRACE: Millis = 450.0;
 /// How long a closing connection waits for the client to receive the last response and close, ms.
 ///
-/// A close over unread bytes is sent as a reset, and a reset discards what of the response is still on its way. The
-/// timeout is long enough for a lost segment to be sent again.
+/// A close over unread bytes is sent as a reset, and a reset discards what of the response is still on its
+/// way. The timeout is long enough for a lost segment to be sent again.
 const LINGER_TIMEOUT: Millis = 500.0;
 
 /// What a client connection is doing.
@@ -148,7 +150,8 @@
         }
     }
 
-    /// Whether bytes wait in the socket. On a busy machine the runtime may not have read what has long arrived.
+    /// Whether bytes wait in the socket. On a busy machine the runtime may not have read what has long
+    /// arrived.
     pub fn has_unread_bytes(&self) -> bool {
         self.unread.has_unread_bytes()
     }
--- a/src/net/client/connection_task.rs
+++ b/src/net/client/connection_task.rs
@@ -18,8 +18,8 @@
 
 /// Serves a connection until it ends, is closed or aborted, or its client disconnects.
 ///
-/// When this returns, the connection is dropped and with it the request it was processing, whose attempts are then
-/// cancelled.
+/// When this returns, the connection is dropped and with it the request it was processing, whose attempts are
+/// then cancelled.
 pub async fn serve_connection(
     registered: RegisteredConnection,
     handler: Rc<RequestHandler>,
--- a/src/net/client/disconnect.rs
+++ b/src/net/client/disconnect.rs
@@ -8,11 +8,12 @@
 use std::task::Poll;
 use tokio::io::Interest;
 
-/// Waits until the client has disconnected (closed, closed its sending side or reset) while a request of its is
-/// being processed.
+/// Waits until the client has disconnected (closed, closed its sending side or reset) while one of its
+/// requests is being processed.
 ///
-/// The HTTP parser notices this only where nothing is unread behind the request; the kernel reports it whatever is
-/// unread. To be polled after the connection, as polling that is what begins a request. Cancel safe.
+/// The HTTP parser notices this only where nothing is unread behind the request; the kernel reports it
+/// whatever is unread. To be polled beside the connection and after it, as only that poll begins or ends a
+/// request: nothing else wakes this. Cancel safe.
 pub async fn disconnected_while_processing(connection: &Connection) {
     // Without urgent data this interest becomes ready by the peer's close only.
     if connection.stream().ready(Interest::PRIORITY).await.is_err() {
@@ -23,10 +24,11 @@
     poll_fn(|_| if is_processing() { Poll::Ready(()) } else { Poll::Pending }).await
 }
 
-/// Reports a disconnected client to the event loop, unless its request was answered before the guard is dropped.
+/// Reports a disconnected client to the event loop, unless its request was answered before the guard is
+/// dropped.
 ///
-/// The connection's task is dropped when the client disconnects, and this guard with it. Without the report the
-/// request would be forwarded or retried for nobody.
+/// The connection's task is dropped when the client disconnects, and this guard with it. Without the report
+/// the request would be forwarded or retried for nobody.
 pub struct DisconnectGuard<'a> {
     event_loop: &'a Rc<EventLoop>,
     id: RequestId,
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -8,7 +8,8 @@
 
 /// A new connection is given this long for its first bytes before it counts as stalled, ms.
 pub const FIRST_BYTE_TIMEOUT: Millis = 100.0;
-/// A closing connection is given this long for its client to receive the last response before it is dropped, ms.
+/// A closing connection is given this long for its client to receive the last response before it is dropped,
+/// ms.
 const CLOSING_GRACE: Millis = FIRST_BYTE_TIMEOUT;
 
 /// How readily a connection is evicted: the lower, the sooner.
--- a/src/net/client/head_counter.rs
+++ b/src/net/client/head_counter.rs
@@ -2,8 +2,8 @@
 
 /// Counts the ends of request heads (`CR LF CR LF`) among the bytes of a connection.
 ///
-/// A body may contain what looks like the end of a head. It is then counted as a request that is still pending,
-/// until the connection is idle again; the connection is merely kept open a little longer for it.
+/// A body may contain what looks like the end of a head. It is then counted as a request that is still
+/// pending, until the connection is idle again; the connection is merely kept open a little longer for it.
 #[derive(Clone, Copy, Default)]
 pub struct RequestHeadCounter {
     /// Complete heads of requests that the handler has not received yet.
--- a/src/net/client/instrumented_stream.rs
+++ b/src/net/client/instrumented_stream.rs
@@ -14,8 +14,8 @@
 
 /// A client's stream that records received bytes and completed writes in its [`Connection`].
 ///
-/// The socket is shared, so that its end can be awaited beside the HTTP parser, which reads no further than it
-/// has use for.
+/// The socket is shared, so that its end can be awaited beside the HTTP parser, which reads no further than
+/// it has use for.
 pub struct InstrumentedStream {
     stream: Rc<TcpStream>,
     connection: Rc<Connection>,
@@ -98,8 +98,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Shuts down sending, and completes when the socket may be closed. What arrives meanwhile is not read, so that
-    /// the client knows that it was not processed and may send it again elsewhere.
+    /// Shuts down sending, and completes when the socket may be closed. What arrives meanwhile is not read,
+    /// so that the client knows that it was not processed and may send it again elsewhere.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let lingering = match self.lingering.take() {
             Some(lingering) => lingering,
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -10,7 +10,8 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept: without free descriptors the next one would fail at once, and the loop would spin.
+/// Pause after a failed accept: without free descriptors the next one would fail at once, and the loop would
+/// spin.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// How long a connection that was asked to close is waited for before another is asked.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`ClientListener`] accepts connections and registers each in the `connection_table`. A `connection_task`
 //! serves one connection through an `instrumented_stream`, which keeps the state in `connection` up to date.
-//! Each request passes the steps of the `request_handler`: read, validate, admit, respond. The `idle_reaper` and
-//! the `eviction` module close connections that make no progress or whose place is needed.
+//! Each request passes the steps of the `request_handler`: read, validate, admit, respond. The `idle_reaper`
+//! and the `eviction` module close connections that make no progress or whose place is needed.
 
 mod connection;
 mod connection_table;
--- a/src/net/client/request_handler.rs
+++ b/src/net/client/request_handler.rs
@@ -49,7 +49,7 @@
         self.rejecting.set(true);
     }
 
-    /// Whether new connections wait, and no open one can be closed for them as all have a request in flight.
+    /// Notes whether new connections wait while no open one can be closed for them.
     pub fn set_saturated(&self, saturated: bool) {
         self.saturated.set(saturated);
     }
@@ -57,8 +57,8 @@
     /// Handles one request and gives its response, which also says whether the connection closes.
     pub async fn handle(&self, request: Request<Incoming>, connection: &Connection) -> ClientResponse {
         let mut response = self.process(request, connection).await.unwrap_or_else(response::from_error);
-        // While saturated, a connection that is kept would lock out the clients that wait for one. Requests behind
-        // this one are answered first: they would be lost with the connection.
+        // While saturated, a connection that is kept would lock out the clients that wait for one. Requests
+        // behind this one are answered first: they would be lost with the connection.
         if (self.draining.get() || self.saturated.get()) && connection.is_last_request() {
             response::announce_close(&mut response);
         }
@@ -105,8 +105,8 @@
         let disconnect_guard = DisconnectGuard::new(&self.event_loop, id);
         let answer = match answer.await {
             Ok(answer) => answer,
-            // The event loop has noticed the disconnect first and dropped the sender: the connection's task is about
-            // to drop this future as well.
+            // The event loop has noticed the disconnect first and dropped the sender: the connection's task
+            // is about to drop this future as well.
             Err(_) if is_closed_by_peer(connection.stream()) => std::future::pending().await,
             // A sender lost otherwise is a defect; the client still gets its response.
             Err(_) => Answer::Failed,
--- a/src/net/client/request_parser.rs
+++ b/src/net/client/request_parser.rs
@@ -1,5 +1,5 @@
-//! Validates the head of a request. All of it is checked before the request is admitted: an invalid request must
-//! not reach the decisions, nor change what is known of a tenant.
+//! Validates the head of a request. All of it is checked before the request is admitted: an invalid request
+//! must not reach the decisions, nor change what is known of a tenant.
 
 use super::headers::{
     parse_decimal, single_value, CLIENT_RETRY, CORRELATION_ID, IDEMPOTENCY_KEY, PLAN, QUOTA, SERVICE_CLASS,
@@ -36,7 +36,8 @@
 }
 
 /// Rejects what can be read in two ways: a length beside a transfer coding may hide a second request (request
-/// smuggling), and the HTTP parser keeps the coding only. So a length is all that is accepted, and one `Host`.
+/// smuggling), and the HTTP parser keeps the coding only. So a length is all that is accepted, and one
+/// `Host`.
 pub fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
@@ -129,7 +130,8 @@
     plan.map(PlanId).ok_or(RequestError::UnknownPlan)
 }
 
-/// How long the client still waits, ms. No client waits longer than its class allows, and nothing is kept longer.
+/// How long the client still waits, ms. No client waits longer than its class allows, and nothing is kept
+/// longer.
 fn parse_time_left(headers: &HeaderMap, class: &Class) -> Result<Millis, RequestError> {
     let seconds = single_value(headers, &TIME_LEFT)?.and_then(parse_decimal);
     let time_left = seconds.map(|seconds| seconds * 1000.0);
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -5,8 +5,8 @@
 
 /// Unix time that never runs backwards: read from the system once, and advanced by the monotonic clock.
 ///
-/// Counter keys are derived from the time, so gateways need a common epoch; a system clock that is set back while the
-/// process runs must not reach them.
+/// Counter keys are derived from the time, so gateways need a common epoch; a system clock that is set back
+/// while the process runs must not reach them.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_at_start: Millis,
--- a/src/net/connection_limits.rs
+++ b/src/net/connection_limits.rs
@@ -2,11 +2,11 @@
 
 use crate::config::Limits;
 
-/// File descriptors for all that is no client's or server's connection: the counter's connections (twice as many
-/// while it moves), discovery's, the listener and the runtime's own.
+/// File descriptors for all that is no client's or server's connection: the counter's connections (twice as
+/// many while it moves), discovery's, the listener and the runtime's own.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Share of the connections that clients get; servers get the rest. A request needs a connection to a server, and a
-/// hedged one a second.
+/// Share of the connections that clients get; servers get the rest. A request needs a connection to a server,
+/// and a hedged one a second.
 const CLIENT_SHARE: f64 = 0.5;
 /// Share of the memory limit that connections may take in the worst case.
 const MEMORY_SHARE: f64 = 0.6;
--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A connection whose oldest reply is overdue by this time, ms, is unresponsive, or by
-/// [`UNRESPONSIVE_FACTOR`] times the timeout of a call, if that is longer.
+/// A connection that has owed a reply for this time, ms, is unresponsive, or for [`UNRESPONSIVE_FACTOR`]
+/// times the timeout of a call, if that is longer.
 const UNRESPONSIVE_AFTER: Millis = 1000.0;
 const UNRESPONSIVE_FACTOR: f64 = 1.25;
 
--- a/src/net/discovery/json_framer.rs
+++ b/src/net/discovery/json_framer.rs
@@ -3,9 +3,9 @@
 use super::error::DiscoveryError;
 use super::json_scanner::{ByteScanner, JsonScanner, ScanResult};
 
-/// Share of the memory limit that one object's bytes may take. While a complete list is decoded, its bytes stand in
-/// a buffer of up to twice their size, beside the decoded list and the list before it: at most four times this
-/// share, where connections may hold 0.6.
+/// Share of the memory limit that one object's bytes may take. While a complete list is decoded, its bytes
+/// stand in a buffer of up to twice their size, beside the decoded list and the list before it: at most four
+/// times this share, where connections may hold 0.6.
 const MEMORY_SHARE: f64 = 1.0 / 16.0;
 /// Lower limit of [`max_object_bytes`], for memory limits too small to run with.
 const MIN_OBJECT_BYTES: f64 = (1 << 20) as f64;
@@ -17,8 +17,8 @@
     (memory_mb * 1e6 * MEMORY_SHARE).max(MIN_OBJECT_BYTES) as usize
 }
 
-/// Puts objects together from pieces that end anywhere, and scans each byte once. An object may stand on one line
-/// or several; between two objects there is only white space, such as the empty lines of an idle watch.
+/// Puts objects together from pieces that end anywhere, and scans each byte once. An object may stand on one
+/// line or several; between two objects there is only white space, such as the empty lines of an idle watch.
 pub(super) struct JsonFramer<S = JsonScanner> {
     buffer: Vec<u8>,
     /// Where in the buffer the incomplete object begins.
--- a/src/net/discovery/json_scanner.rs
+++ b/src/net/discovery/json_scanner.rs
@@ -41,8 +41,8 @@
     Escape,
 }
 
-/// Matches brackets and strings. A byte that cannot be part of an object is found as soon as it comes; whether the
-/// literals and separators make sense together is left to the decoder.
+/// Matches brackets and strings. A byte that cannot be part of an object is found as soon as it comes;
+/// whether the literals and separators make sense together is left to the decoder.
 #[derive(Debug, Default)]
 pub(super) struct JsonScanner {
     state: ScanState,
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Watches the discovery agent and hands its endpoint lists on.
 //!
-//! [`WatcherHandle`] runs one watcher for the agent that the configuration names. The watcher reads a complete list
-//! once, then holds a watch open for changes, and repeats what fails after a backoff. Each list goes to an
-//! [`EndpointSink`].
+//! [`WatcherHandle`] runs one watcher for the agent that the configuration names. The watcher reads a
+//! complete list once, then holds a watch open for changes, and repeats what fails after a backoff. Each list
+//! goes to an [`EndpointSink`].
 
 mod connect;
 mod endpoint_list;
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -33,8 +33,8 @@
 }
 
 impl ResponseStream {
-    /// Calls the agent, on a connection of its own. `call_timeout` is the time for the connection to open, and again
-    /// for the response head; an object may hold `max_bytes`.
+    /// Calls the agent, on a connection of its own. `call_timeout` is the time for the connection to open,
+    /// and again for the response head; an object may hold `max_bytes`.
     ///
     /// # Errors
     /// When the agent cannot be reached, does not answer in time or answers with another status than 200.
@@ -51,9 +51,8 @@
             .map_err(DiscoveryError::Connect)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let connection = ConnectionTask(tokio::task::spawn_local(async move {
-            if let Err(error) = connection.await {
-                log::debug!("discovery connection failed: {error}");
-            }
+            // How it ends is seen by whoever reads the response.
+            let _ = connection.await;
         }));
         let request = Request::get(path).header("host", agent.to_string()).body(Empty::<Bytes>::new())?;
         let response = timeout(call_timeout, sender.send_request(request))
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -108,8 +108,8 @@
         let mut response = self.open_watch(revision).await?;
         loop {
             self.apply_received(&mut response)?;
-            // Cancelled at this await, a piece that has come is lost with the connection; the next watch begins
-            // after the last list that was received completely.
+            // Cancelled at this await, a piece that has come is lost with the connection; the next watch
+            // begins after the last list that was received completely.
             match response.read_piece(WATCH_IDLE_TIMEOUT).await {
                 Ok(()) => self.stale_since = None,
                 Err(error) => return Err(self.watch_failed(error)),
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -169,8 +169,8 @@
     }
 }
 
-/// The number of a server, the same at every gateway: the eight hexadecimal digits that end its id after a hyphen,
-/// or else the 32-bit FNV-1a hash of the id.
+/// The number of a server, the same at every gateway: the eight hexadecimal digits that end its id after a
+/// hyphen, or else the 32-bit FNV-1a hash of the id.
 fn server_id(id: &str) -> ServerId {
     const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
     const FNV_PRIME: u32 = 0x0100_0193;
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,8 +1,8 @@
 //! Passes what happens on the sockets to the policy, in order, and executes the actions that it asks for.
 //!
-//! A process has one [`EventLoop`], on one thread. Every change enters by [`EventLoop::dispatch`]. Executing an action
-//! may bring up the next event at once; events are therefore queued, and the policy sees one only after the actions
-//! of the event before it have been executed.
+//! A process has one [`EventLoop`], on one thread. Every change enters by [`EventLoop::dispatch`]. Executing
+//! an action may bring up the next event at once; events are therefore queued, and the policy sees one only
+//! after the actions of the event before it have been executed.
 
 use super::clock::Clock;
 use super::counter::{CompletedCall, CounterClient, Increment};
@@ -32,12 +32,14 @@
 
 pub use super::request_table::Answer;
 
-/// Time that an answer needs to reach the client, ms: a client counts its deadline from when it sent the request.
+/// The policy is told of a deadline this much earlier, ms: a client counts its deadline from when it sent the
+/// request, and a response needs time to reach it.
 const RESPONSE_MARGIN: Millis = 20.0;
-/// A request that the policy has not answered this long before its deadline, ms, has timed out.
+/// A request that has no answer this long before its deadline, ms, is answered as timed out by the event
+/// loop. Less than [`RESPONSE_MARGIN`], so that the policy has its turn first.
 const DEADLINE_MARGIN: Millis = 8.0;
-/// Between two checks of idle connections, ms.
-const IDLE_CHECK_INTERVAL: Millis = 500.0;
+/// Between two checks of connections to servers and the counter, ms.
+const CONNECTION_CHECK_INTERVAL: Millis = 500.0;
 
 /// A request that was read completely.
 pub struct Arrival {
@@ -115,7 +117,7 @@
         if let Some(known) = config.known() {
             event_loop.update_endpoints(&known, EndpointUpdate::Cached);
         }
-        event_loop.timers.arm(event_loop.now() + IDLE_CHECK_INTERVAL, TimerKind::IdleCheck);
+        event_loop.timers.arm(event_loop.now() + CONNECTION_CHECK_INTERVAL, TimerKind::ConnectionCheck);
         event_loop
     }
 
@@ -168,8 +170,8 @@
 
     // ---- Events in, actions out ---------------------------------------------------------------
 
-    /// Passes an event to the policy and executes the actions that follow. Called while another event is handled, it
-    /// only enqueues the event.
+    /// Passes an event to the policy and executes the actions that follow. Called while another event is
+    /// handled, it only enqueues the event.
     pub fn dispatch(self: &Rc<Self>, event: Event) {
         self.enqueue(event);
         self.run_until_idle();
@@ -181,9 +183,9 @@
 
     /// Handles events until none is left.
     ///
-    /// A panic while one event is handled must not end the task that dispatched it, a client's connection or the
-    /// timers, nor lose what is queued: it is caught and logged here, the queues hold all that was not begun, and a
-    /// request whose arrival was being handled is answered as failed.
+    /// A panic while one event is handled must not end the task that dispatched it, a client's connection or
+    /// the timers, nor lose what is queued: it is caught and logged here, the queues hold all that was not
+    /// begun, and a request whose arrival was being handled is answered as failed.
     fn run_until_idle(self: &Rc<Self>) {
         if self.running.replace(true) {
             return;
@@ -231,7 +233,7 @@
             }
             Action::IncrementCounter { key, add, ttl } => self.increment_counter(key, add, ttl),
             Action::Timer { after, token } => self.timers.arm(self.now() + after, TimerKind::Policy(token)),
-            // Discovery pushes its changes to this gateway, and health checks are not allowed here.
+            // Discovery pushes its changes to this gateway, and the policy asks for no health check.
             Action::WatchEndpoints | Action::HealthCheck(_) => {}
         }
     }
@@ -277,13 +279,13 @@
         self.requests.borrow_mut().remove_if_finished(id);
     }
 
-    /// Guards against a policy that leaves a request without an answer: the client would wait until its own deadline
-    /// and see a connection without a response. It is answered while it still waits.
+    /// Guards against a policy that leaves a request without an answer: the client would wait until its own
+    /// deadline and see a connection without a response. It is answered while it still waits.
     fn enforce_deadline(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
         let Some(responder) = responder else { return };
-        let delivered = responder.send(Answer::TimedOut).is_ok();
-        log::debug!("request {} timed out: answer delivered {delivered}", id.0);
+        // A client that has just left needs no answer.
+        let _ = responder.send(Answer::TimedOut);
         self.withdraw(id);
     }
 
@@ -297,7 +299,8 @@
 
     // ---- Servers ------------------------------------------------------------------------------
 
-    /// Takes in a server list from discovery. False where an entry was ignored: the change it stands for is unknown.
+    /// Takes in a server list from discovery. False where an entry was ignored: the change it stands for is
+    /// unknown.
     pub fn endpoints_changed(self: &Rc<Self>, list: &EndpointList<'_>) -> bool {
         let update = if list.complete { EndpointUpdate::Complete } else { EndpointUpdate::Incremental };
         let complete = self.update_endpoints(list, update);
@@ -336,10 +339,10 @@
             }
             TimerKind::Deadline(id) => self.enforce_deadline(id),
             TimerKind::CounterCall(call) => self.counter_call_timed_out(call),
-            TimerKind::IdleCheck => {
+            TimerKind::ConnectionCheck => {
                 self.pool.drop_expired(self.now());
                 self.counter.check_connections(self.now());
-                self.timers.arm(self.now() + IDLE_CHECK_INTERVAL, TimerKind::IdleCheck);
+                self.timers.arm(self.now() + CONNECTION_CHECK_INTERVAL, TimerKind::ConnectionCheck);
             }
         }
     }
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -72,11 +72,12 @@
         })
     }
 
-    /// Whether an attempt may begin. Asked again when its first byte is about to be written: by then the server may
-    /// have begun to drain or the client may have left, and not every deployment lets the policy cancel attempts.
+    /// Whether an attempt may begin. Asked again when its first byte is about to be written: by then the
+    /// server may have begun to drain or the client may have left, and not every deployment lets the policy
+    /// cancel attempts.
     ///
-    /// The client's socket itself is asked. On a busy machine hundreds of tasks may be scheduled before the one that
-    /// would report its close, and each of them may begin an attempt.
+    /// The client's socket itself is asked. On a busy machine hundreds of tasks may be scheduled before the
+    /// one that would report its close, and each of them may begin an attempt.
     ///
     /// # Errors
     /// How the attempt ends if it may not begin.
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -35,8 +35,8 @@
     pub number: u8,
 }
 
-/// A request that has its final answer, or no client any more, is complete; it stays in the table until its last
-/// attempt has ended.
+/// A request that has its final answer, or no client any more, is complete; it stays in the table until its
+/// last attempt has ended.
 pub struct PendingRequest {
     /// Where the final answer goes; none once the request is complete.
     responder: Option<oneshot::Sender<Answer>>,
@@ -80,7 +80,8 @@
         self.responder.is_none()
     }
 
-    /// Records an attempt that starts at `now`, and returns its number. None if there are too many to be numbered.
+    /// Records an attempt that starts at `now`, and returns its number. None if there are too many to be
+    /// numbered.
     pub fn start_attempt(&mut self, server: ServerId, now: Millis) -> Option<u8> {
         let number = u8::try_from(self.attempts.len()).ok();
         self.attempts.push(Attempt { server, started: now, in_flight: true, task: None });
@@ -161,15 +162,16 @@
         attempts.and_then(|all| all.get(usize::from(id.number))).is_some_and(|attempt| attempt.in_flight)
     }
 
-    /// Lets go of an attempt's task, so that the end of the attempt does not abort it.
+    /// Lets go of an attempt's task, so that the end of the attempt does not abort it: the task itself
+    /// reports that end.
     pub fn detach_task(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempt_mut(id) {
             attempt.task = None;
         }
     }
 
-    /// Ends an attempt at `now` and aborts its task, which closes its connection. Returns the event for the policy, or
-    /// none if the attempt had ended before.
+    /// Ends an attempt at `now` and aborts its task, which closes its connection. Returns the event for the
+    /// policy, or none if the attempt had ended before.
     pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, now: Millis) -> Option<Event> {
         let complete = self.requests.get(&id.request)?.is_complete();
         let attempt = self.attempt_mut(id).filter(|attempt| attempt.in_flight)?;
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -36,8 +36,8 @@
     },
 }
 
-/// Serves until SIGTERM or SIGINT, and then until what was accepted is answered. On SIGHUP the configuration at
-/// `config_path` is read again. Needs a [`LocalSet`](tokio::task::LocalSet).
+/// Serves until SIGTERM or SIGINT, and then until what was accepted is answered. On SIGHUP the configuration
+/// at `config_path` is read again. Needs a [`LocalSet`](tokio::task::LocalSet).
 ///
 /// # Errors
 /// When the gateway cannot start to serve.
@@ -77,13 +77,16 @@
         Ok(RunningGateway { config_path, event_loop, clients, discovery, max_deadline })
     }
 
-    /// Takes over the addresses of discovery and the counter; all other settings need a restart. A file that cannot
-    /// be read changes nothing.
+    /// Takes over the addresses of discovery and the counter; all other settings need a restart. A file that
+    /// cannot be read or is invalid changes nothing.
     fn reload(&mut self) {
         match Config::load(&self.config_path) {
             Ok(config) => {
                 let counter = config.counter.map_or_else(|| "none".to_owned(), |address| address.to_string());
-                log::info!("configuration reloaded: discovery {}, counter {counter}", config.discovery);
+                log::info!(
+                    "configuration reloaded: discovery {}, counter {counter}; other settings need a restart",
+                    config.discovery
+                );
                 self.discovery.move_to(&self.event_loop, config.discovery);
                 self.event_loop.counter().move_to(config.counter);
             }
@@ -119,11 +122,11 @@
 
 fn start_discovery(config: &Config, event_loop: &Rc<EventLoop>) -> WatcherHandle<SocketAddr> {
     let known_revision = config.known().map(|list| list.revision);
-    let bounds = WatcherLimits {
+    let limits = WatcherLimits {
         drain_grace: event_loop.drain_grace(),
         max_object_bytes: max_object_bytes(config.limits.memory_mb),
     };
-    WatcherHandle::start(event_loop, config.discovery, known_revision, bounds)
+    WatcherHandle::start(event_loop, config.discovery, known_revision, limits)
 }
 
 /// Serves with the cached server list if discovery has none in time.
@@ -134,8 +137,8 @@
     });
 }
 
-/// Accepts clients for the life of the process, also during a shutdown: when a listener closes, the connections that
-/// wait to be accepted are reset and their requests lost. Returns the address listened on.
+/// Accepts clients for the life of the process, also during a shutdown: when a listener closes, the
+/// connections that wait to be accepted are reset and their requests lost. Returns the address listened on.
 fn start_listener(clients: &Rc<ClientListener>, address: SocketAddr) -> io::Result<SocketAddr> {
     let listener = Rc::new(listen(address)?);
     let address = listener.local_addr()?;
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -19,11 +19,13 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Whether the peer has closed its connection, closed its sending side or reset it, whatever waits to be read on it.
+/// Whether the peer has closed its connection, closed its sending side or reset it, whatever waits to be read
+/// on it.
 ///
 /// The kernel is asked, as the runtime may not have seen the event yet.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
-    // A reset is reported without being asked for. Where the kernel cannot tell, the end of the connection will.
+    // A reset is reported without being asked for. Where the kernel cannot tell, the end of the connection
+    // will.
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
     matches!(poll(&mut polled, Some(&Timespec::default())), Ok(1..))
 }
--- a/src/net/timer_queue.rs
+++ b/src/net/timer_queue.rs
@@ -8,7 +8,8 @@
 use std::collections::BinaryHeap;
 use tokio::sync::Notify;
 
-/// What is to be done when a timer fires. Timers due at the same microsecond fire in the order of the variants.
+/// What is to be done when a timer fires. Timers due at the same microsecond fire in the order of the
+/// variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
     /// A timer that the policy asked for; the token goes back to it.
@@ -20,7 +21,7 @@
     /// The time-out of a call to the counter service, by the call's number.
     CounterCall(u64),
     /// The periodic check of idle connections.
-    IdleCheck,
+    ConnectionCheck,
 }
 
 /// Unix time in whole microseconds: unlike [`Millis`] it has a total order.
--- a/src/net/upstream/request.rs
+++ b/src/net/upstream/request.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, Request, Uri};
 use std::net::SocketAddr;
 
-/// Tells the server how long the client still waits, in seconds.
+/// Tells the server how long its attempt is still waited for, in seconds: no longer than the client waits.
 const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
 /// What each attempt of a client's request forwards unchanged.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,10 +1,12 @@
 //! Quota admission: whether a request that has not been forwarded yet may be, must wait, or is rejected.
 
-use super::counter_health::COUNTER_WAIT_SHARE;
 use super::request::InFlightRequest;
 use super::tenant::{Tenant, Usage};
 use crate::ids::Millis;
 
+/// Share of its class's latency objective that a request waits for the reply to its reservation.
+const RESERVATION_WAIT_SHARE: f64 = 0.25;
+
 /// What admission says of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
@@ -16,7 +18,8 @@
     Reject,
 }
 
-/// Decides on a request. `roll` is a uniform draw from 0 to 1, made for every decision.
+/// Decides on a request. `roll` is a uniform draw from 0 to 1, made for every decision. The plan's limit on
+/// attempts in flight is checked for tenants counted in batches only.
 pub(super) fn admit(
     now: Millis,
     in_flight: &mut InFlightRequest,
@@ -36,7 +39,7 @@
             false => Admission::Reject,
         },
         Usage::LowTraffic(usage) => {
-            let counter_wait = COUNTER_WAIT_SHARE * in_flight.class.latency_objective;
+            let counter_wait = RESERVATION_WAIT_SHARE * in_flight.class.latency_objective;
             let check = &mut in_flight.quota_check;
             if check.awaiting_counter && now - in_flight.arrived_at < counter_wait {
                 return Admission::Queue;
--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -1,8 +1,8 @@
 //! Quota admission of a tenant that this gateway sees often enough to count in batches: probabilistic
 //! suppression on a sliding window that the gateways share through the counter.
 //!
-//! Source: the sliding-window rate limiter of the paper named in `docs/GLOSSARY.md`. Requests are rejected
-//! with probability 1 − rate / perceived rate, and all of them past a hard multiple of the quota.
+//! Requests beyond the quota are rejected with probability 1 − rate / perceived rate, and nothing beyond a
+//! hard multiple of the quota is admitted by chance. Source: last section of `docs/GLOSSARY.md`.
 
 use super::counter_health::is_congested;
 use super::counter_key::{counter_key, span_at};
@@ -12,8 +12,7 @@
 use super::tally::{RemoteUnits, Tally};
 use crate::ids::{CounterKey, Millis, TenantId};
 
-/// Width of a bucket of the window, ms: a sixteenth of a window of some seconds, so that it ages in small
-/// steps.
+/// Width of a bucket of the window, ms: small beside a window of seconds, so that it ages in small steps.
 const BUCKET_WIDTH: Millis = 250.0;
 /// Shortest time between two counter calls for a tenant, ms: one bucket.
 pub(super) const SYNC_INTERVAL: Millis = 250.0;
@@ -69,7 +68,7 @@
     not_forwarded: Tally,
     last_sync: Millis,
     suppression: Option<Suppression>,
-    /// Units missing from the tenant's token bucket.
+    /// Units missing from the tenant's full token bucket.
     bucket_deficit: f64,
     /// The counter has answered the first read, or failed it.
     first_read_done: bool,
@@ -232,8 +231,8 @@
         SyncStatus::Calls(calls)
     }
 
-    /// Begins a call for one decision's units, unless one is in flight. Before the first call of a new span
-    /// the old key may be read once more, for what others added to it since the last read.
+    /// Begins a call for one disposition's units, unless one is in flight. Before the first call of a new
+    /// span the old key may be read once more, for what others added to it since the last read.
     fn begin_calls(
         &mut self,
         disposition: Disposition,
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -33,6 +33,7 @@
         self.tokens = refilled.min(self.burst / self.gateway_count);
     }
 
+    /// Takes the units of a first attempt; further attempts are free.
     pub(super) fn spend(&mut self, units: f64) {
         self.tokens -= units;
     }
@@ -42,7 +43,8 @@
         self.rate.is_some() && self.tokens < units
     }
 
-    /// Time until the bucket holds so many units; ms.
+    /// Time until the bucket holds so many units at its rate; ms. A request of more than this gateway's part
+    /// of the burst is never admitted, which this does not say.
     pub(super) fn time_until(&self, units: f64) -> Millis {
         let Some(rate) = self.rate else { return 0.0 };
         let missing = (units - self.tokens).max(0.0);
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -8,9 +8,10 @@
 use crate::ids::Millis;
 use crate::settings::Settings;
 
-/// Share of the shortest latency objective that a counter call, and the request that it decides, may take.
-pub(super) const COUNTER_WAIT_SHARE: f64 = 0.25;
-
+/// Share of the shortest latency objective of all classes that a call may take ...
+const CALL_TIMEOUT_SHARE: f64 = 0.25;
+/// ... within this, ms, unless the settings name more.
+const MAX_CALL_TIMEOUT: Millis = 800.0;
 /// Longest pause between calls to an unresponsive counter, ms: its return is noticed within this.
 const MAX_RETRY_PAUSE: Millis = 800.0;
 /// The counter is unresponsive once calls have failed and none was answered for this long, ms.
@@ -26,8 +27,8 @@
 const MIN_TARGET_QUEUE: Millis = 1.0;
 /// Gain with which the baseline latency follows a counter that has become slower, for each reply.
 const BASELINE_GAIN: f64 = 0.01;
-/// Change of the factor's logarithm for a reply that queued not at all, or for twice the target. Large steps
-/// make the weights of reservations unsteady.
+/// Change of the factor's logarithm for a reply: minus this for one that did not queue, plus this for one
+/// that queued twice the target. Large steps make the weights of reservations unsteady.
 const BACKOFF_GAIN: f64 = 0.02;
 /// Most that one slow reply counts for, in targets beyond the target.
 const MAX_EXCESS_DELAY: f64 = 2.0;
@@ -47,16 +48,17 @@
 /// Calls fail together: the factor rises once in this time, ms.
 const BACKOFF_RAISE_INTERVAL: Millis = 200.0;
 
-/// How long a call to the counter is waited for; ms.
+/// How long a call to the counter is waited for; ms. Not less than [`Settings::counter_timeout`], and longer
+/// where the latency objectives leave time: a late reply is still of use.
 pub fn counter_call_timeout(settings: &Settings) -> Millis {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
     let shortest = objectives.fold(f64::INFINITY, f64::min);
-    (COUNTER_WAIT_SHARE * shortest).min(MAX_RETRY_PAUSE).max(settings.counter_timeout)
+    (CALL_TIMEOUT_SHARE * shortest).min(MAX_CALL_TIMEOUT).max(settings.counter_timeout)
 }
 
 /// What the replies of the counter service tell of its load.
 pub(super) struct CounterHealth {
-    /// Time after which a call counts as timed out, ms.
+    /// [`Settings::counter_timeout`], ms: the scale of the queueing delay to aim at.
     timeout: Millis,
     last_reply_at: Option<Millis>,
     /// Calls have failed, and none was answered for long.
@@ -69,6 +71,7 @@
     /// Time that a call takes while the counter has no queue, ms.
     baseline_latency: Option<Millis>,
     consecutive_fast: u32,
+    /// Failures since the last reply that raised the factor; a call without an answer counts as the first.
     consecutive_rejected: u32,
 }
 
--- a/src/policy/counter_key.rs
+++ b/src/policy/counter_key.rs
@@ -27,7 +27,8 @@
     (now / COUNTER_KEY_SPAN).floor() as i64
 }
 
-/// The key of a tenant's units of one decision in a span. The same at every gateway.
+/// The key of a tenant's units of one disposition in a span. The same at every gateway, as far as their
+/// clocks agree: gateways with clocks of their own would count apart.
 pub(super) fn counter_key(tenant: TenantId, disposition: Disposition, span: i64) -> CounterKey {
     let disposition_bit = match disposition {
         Disposition::Forwarded => 0,
--- a/src/policy/endpoint_health.rs
+++ b/src/policy/endpoint_health.rs
@@ -33,7 +33,7 @@
     pub(super) paused: bool,
     /// It is not ejected.
     pub(super) healthy: bool,
-    /// The last failure was not one to connect.
+    /// Its last failure, if it has not succeeded since, was neither a failed connect nor a reset.
     pub(super) reachable: bool,
     /// Its slow start is over.
     pub(super) warm: bool,
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -18,7 +18,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Mean response time of a class before the first one, as a share of its latency objective.
+/// The latency objective over this stands for the mean response time of a class before the first response.
 const INITIAL_LATENCY_DIVISOR: f64 = 5.0;
 
 /// The decisions of one gateway and what they need to remember.
@@ -29,7 +29,7 @@
     pub(super) started_at: Option<Millis>,
     pub(super) selector: EndpointSelector,
     pub(super) tenants: BTreeMap<TenantId, Tenant>,
-    /// Tenants with something to tell the counter.
+    /// Tenants that may have something to tell the counter; housekeeping looks at each.
     pub(super) unsynced: BTreeSet<TenantId>,
     pub(super) eviction: EvictionCursor,
     /// Counter calls in flight.
--- a/src/policy/housekeeping.rs
+++ b/src/policy/housekeeping.rs
@@ -1,4 +1,5 @@
-//! Housekeeping at a fixed interval: its period, and the eviction of idle tenants.
+//! The interval of housekeeping, in which idle tenants are evicted, counters synchronised and hedged requests
+//! sent; and the eviction.
 
 use super::tenant::Tenant;
 use crate::ids::{Millis, TenantId};
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -26,7 +26,8 @@
         for (position, queued) in self.take_queue(now).into_iter().enumerate() {
             let id = queued.id;
             let limit = self.concurrency.limit();
-            // On a subset a request may wait for its server while the limit is not reached: that is no overload.
+            // On a subset a request may wait for its server while the limit is not reached: that is no
+            // overload.
             let is_bounded = !self.selector.subset_active() || self.concurrency.is_exhausted();
             if is_bounded && position as f64 > MAX_QUEUE_SHARE * limit {
                 self.reject_or_fail(now, id);
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -2,8 +2,8 @@
 
 use crate::ids::{CounterKey, Millis};
 
-/// Multiple of the quota past which all is rejected. Close to 1, as what passes beyond the quota earns
-/// nothing.
+/// Multiple of the quota past which nothing beyond it is admitted by chance. Close to 1, as what passes
+/// beyond the quota earns nothing.
 pub(super) const HARD_LIMIT_FACTOR: f64 = 1.05;
 
 /// The quota of one tenant, over all its gateways.
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -39,15 +39,13 @@
         let tenant_id = request.tenant;
         self.meet_tenant(now, &request);
         let mut in_flight = InFlightRequest::new(now, request, class);
-        // What can no longer be served in time is not started, and might outlast the housekeeping interval.
-        let cannot_meet_objective = in_flight.objective_at - now
-            < self.class_latency(in_flight.request.class).max(2.0 * HOUSEKEEPING_INTERVAL) / 2.0;
-        if !cannot_meet_objective {
+        let arrived_too_late = self.arrived_too_late(now, &in_flight);
+        if !arrived_too_late {
             self.reserve_on_counter(now, &mut in_flight);
         }
         self.requests.insert(id, in_flight);
         self.unsynced.insert(tenant_id);
-        if cannot_meet_objective {
+        if arrived_too_late {
             self.reject_or_fail(now, id);
             return;
         }
@@ -55,6 +53,13 @@
         self.sync_counter(now, tenant_id);
     }
 
+    /// Whether too little time is left on arrival to try at all: less than half the mean response time, or
+    /// less than a housekeeping interval, within which nothing would look at the request again.
+    fn arrived_too_late(&self, now: Millis, in_flight: &InFlightRequest) -> bool {
+        let half_response_time = self.class_latency(in_flight.request.class) / 2.0;
+        in_flight.objective_at - now < half_response_time.max(HOUSEKEEPING_INTERVAL)
+    }
+
     fn meet_tenant(&mut self, now: Millis, request: &Request) {
         let plan = self.settings.plans.get(request.plan.0).cloned().unwrap_or_default();
         let max_units = self.settings.max_units.max(1.0);
@@ -84,13 +89,12 @@
         admit(now, in_flight, tenant, roll)
     }
 
-    /// Whether a queued request can still meet its objective, with time for one housekeeping, and the ceiling
-    /// will bear it by then.
+    /// Whether a request that waits can still meet its objective: its ceiling refills in time, and twice the
+    /// mean response time and the wait for a housekeeping are left after that.
     pub(super) fn can_meet_objective(&self, now: Millis, id: RequestId) -> bool {
         let Some(in_flight) = self.requests.get(&id) else { return false };
         let request = &in_flight.request;
-        let not_forwarded = in_flight.attempts.is_empty();
-        let tenant = self.tenants.get(&request.tenant).filter(|_| not_forwarded);
+        let tenant = self.tenants.get(&request.tenant);
         let ceiling_wait = tenant.map_or(0.0, |tenant| tenant.ceiling.time_until(request.units));
         let service_time = 2.0 * (self.class_latency(request.class) + HOUSEKEEPING_INTERVAL);
         in_flight.objective_at - now >= service_time + ceiling_wait
--- a/src/policy/sliding_window.rs
+++ b/src/policy/sliding_window.rs
@@ -43,7 +43,7 @@
         (at / self.bucket_width).floor() as i64
     }
 
-    /// Drops the buckets that began before `from`.
+    /// Drops the buckets that began at `from` or before.
     pub(super) fn drop_before(&mut self, from: Millis) {
         let last_dropped = self.index_at(from);
         while self.buckets.front().is_some_and(|bucket| bucket.index <= last_dropped) {
@@ -74,17 +74,17 @@
         &mut self.buckets[position]
     }
 
-    /// Units of one decision in the window.
+    /// Units of one disposition in the window.
     pub(super) fn total(&self, disposition: Disposition) -> f64 {
         self.buckets.iter().map(|bucket| bucket.of(disposition)).sum()
     }
 
-    /// Units of both decisions in the window.
+    /// Units of both dispositions in the window.
     pub(super) fn demand(&self) -> f64 {
         self.total(Disposition::Forwarded) + self.total(Disposition::NotForwarded)
     }
 
-    /// Units of both decisions in the buckets that began after `from`.
+    /// Units of both dispositions in the buckets that began after `from`.
     pub(super) fn demand_since(&self, from: Millis) -> f64 {
         let last_excluded = self.index_at(from);
         let counted = self.buckets.iter().filter(|bucket| bucket.index > last_excluded);
--- a/src/policy/tally.rs
+++ b/src/policy/tally.rs
@@ -1,4 +1,4 @@
-//! What this gateway has told the counter of a tenant's units of one decision, and what it last read.
+//! What this gateway has told the counter of a tenant's units of one disposition, and what it last read.
 
 use super::counter_key::COUNTER_KEY_SPAN;
 use crate::ids::{CounterKey, Millis};
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -113,9 +113,9 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// Whether this gateway's part of the plan's limit on attempts in flight is used up. A fair part each
-    /// holds the limit though the gateways cannot hear each other; a tenant that gathers on one gateway waits
-    /// for a slot.
+    /// Whether this gateway's part of the plan's limit on attempts in flight is used up. Each keeps to a fair
+    /// part, at least one attempt: that holds a limit of one attempt a gateway or more though the gateways
+    /// cannot hear each other. A tenant that gathers on one gateway waits for a slot.
     pub(super) fn is_at_in_flight_limit(&self) -> bool {
         let limit = self.plan.max_in_flight;
         limit > 0.0 && self.in_flight >= (limit / self.gateway_count).floor().max(1.0)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -39,7 +39,7 @@
 pub struct Class {
     /// A response within this span earns its full value; ms.
     pub latency_objective: Millis,
-    /// How long a client waits in all, over its retries; ms.
+    /// How long a client waits in all, over its retries; ms. 0: requests are not bounded by it.
     pub deadline: Millis,
     /// Share of the value that a response after the latency objective still earns, 0 to 1.
     pub late_value: f64,
@@ -56,11 +56,11 @@
     pub rate: f64,
     /// Size of the token bucket, units.
     pub burst: f64,
-    /// Attempts in flight at once; 0: no such quota.
+    /// Attempts in flight at once, for tenants that are counted in batches; 0: no such quota.
     pub max_in_flight: f64,
     /// Refill of the hard ceiling's token bucket, units a second; 0: no ceiling.
     pub ceiling_rate: f64,
-    /// Size of the ceiling's token bucket, units; full at first.
+    /// Size of the ceiling's token bucket, units. Each gateway keeps a part of it, which is empty at first.
     pub ceiling_burst: f64,
     /// Multiplier on the class's priority weight.
     pub priority_multiplier: f64,
@@ -87,7 +87,8 @@
     pub max_retry_after: Millis,
     /// There is a counter service.
     pub counter: bool,
-    /// A call to the counter counts as timed out after this; ms.
+    /// The counter answers a call within this unless it queues too long; ms. How long a call is waited for
+    /// follows from it, see [`counter_call_timeout`](crate::policy::counter_call_timeout).
     pub counter_timeout: Millis,
     /// Endpoint lists come only when asked for.
     pub poll_endpoints: bool,
--- a/src/simulator/layout.rs
+++ b/src/simulator/layout.rs
@@ -1,5 +1,5 @@
-//! Codes and byte positions of the wire, named as the decision module names them. The comment at each record and
-//! field has the protocol's own name. Positions count from the start of the record, its code included.
+//! Codes and byte positions of the wire, named as the decision module names them. The comment at each record
+//! and field has the protocol's own name. Positions count from the start of the record, its code included.
 
 /// Bytes of a frame's header.
 pub const HEADER_BYTES: usize = 16;
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,7 +1,8 @@
-//! Adapter between the simulator's binary frames and the gateways that it runs. It translates and decides nothing.
+//! Adapter between the simulator's binary frames and the gateways that it runs. It translates and decides
+//! nothing.
 //!
-//! `layout` has the codes and byte positions of the records, `frame` reads and writes fields, `event_decoder` and
-//! `action_encoder` translate, and [`Host`] runs the gateways.
+//! `layout` has the codes and byte positions of the records, `frame` reads and writes fields, `event_decoder`
+//! and `action_encoder` translate, and [`Host`] runs the gateways.
 
 mod action_encoder;
 mod error;
--- a/tests/unit/timer_queue.rs
+++ b/tests/unit/timer_queue.rs
@@ -8,7 +8,7 @@
     let clock = Clock::start();
     let timers = TimerQueue::default();
     let now = clock.now();
-    timers.arm(now - 1.0, TimerKind::IdleCheck);
+    timers.arm(now - 1.0, TimerKind::ConnectionCheck);
     timers.arm(now - 1.0, TimerKind::Deadline(RequestId(2)));
     timers.arm(now - 1.0, TimerKind::Policy(7));
     timers.arm(now - 2.0, TimerKind::CounterCall(3));
@@ -20,7 +20,7 @@
         TimerKind::CounterCall(3),
         TimerKind::Policy(7),
         TimerKind::Deadline(RequestId(2)),
-        TimerKind::IdleCheck,
+        TimerKind::ConnectionCheck,
     ];
     assert_eq!(fired, expected);
 }
@@ -29,7 +29,7 @@
 async fn an_earlier_timer_wakes_the_wait_for_a_later_one() {
     let clock = Clock::start();
     let timers = Rc::new(TimerQueue::default());
-    timers.arm(clock.now() + 60_000.0, TimerKind::IdleCheck);
+    timers.arm(clock.now() + 60_000.0, TimerKind::ConnectionCheck);
     let arm_earlier = async {
         tokio::task::yield_now().await;
         timers.arm(clock.now() + 1.0, TimerKind::Policy(1));
