--- a/src/action.rs
+++ b/src/action.rs
@@ -18,7 +18,7 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// When a retry makes sense, ms from now; 0: not told.
+        /// When a retry makes sense, ms from now; 0: none is given.
         retry_after: Millis,
     },
     /// Final answer: failed, possibly executed.
@@ -48,6 +48,6 @@
         /// Comes back with the event.
         token: u64,
     },
-    /// Ask to be told of changes of the endpoint list from now on.
+    /// Ask for the changes of the endpoint list from now on.
     WatchEndpoints,
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! What a gateway's decisions are told: requests, ends of attempts, endpoint lists and counter replies.
+//! The inputs of a gateway's decisions: requests, ends of attempts, endpoint lists and counter replies.
 
 use crate::ids::{ClassId, CounterKey, Millis, PlanId, RequestId, ServerId, TenantId};
 
@@ -36,9 +36,9 @@
 pub enum EndpointUpdate {
     /// Only the entries that changed.
     Incremental,
-    /// The whole list; a server that is not in it is removed.
+    /// The complete list; a server that is not in it is removed.
     Complete,
-    /// The whole list as this gateway last held it, possibly stale.
+    /// The complete list as this gateway last held it, possibly stale.
     Cached,
     /// The list could not be had; the present one holds.
     Failed,
@@ -91,7 +91,7 @@
     }
 }
 
-/// What a gateway's decisions are told.
+/// An input of a gateway's decisions.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the endpoint list.
--- a/src/net/client/request_parser.rs
+++ b/src/net/client/request_parser.rs
@@ -27,7 +27,7 @@
 
 /// A request whose head has been validated.
 pub struct ValidatedHead {
-    /// What the decisions are told.
+    /// The request as the policy sees it.
     pub request: event::Request,
     /// Its correlation id.
     pub correlation_id: Box<str>,
--- a/src/net/client/response.rs
+++ b/src/net/client/response.rs
@@ -47,7 +47,7 @@
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// `retry_after` is in ms; 0 if the client is told no time. The clients of this protocol read fractions of a
+/// `retry_after` is in ms; 0 if none is given. The clients of this protocol read fractions of a
 /// second, beyond what HTTP defines.
 fn rejected(retry_after: Millis) -> ClientResponse {
     let mut response = plain_text(StatusCode::TOO_MANY_REQUESTS, "over the quota or too busy\n");
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -32,7 +32,7 @@
 
 pub use super::request_table::Answer;
 
-/// The policy is told of a deadline this much earlier, ms: a client counts its deadline from when it sent the
+/// The policy sees a deadline this much earlier, ms: a client counts its deadline from when it sent the
 /// request, and a response needs time to reach it.
 const RESPONSE_MARGIN: Millis = 20.0;
 /// A request that has no answer this long before its deadline, ms, is answered as timed out by the event
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -17,7 +17,7 @@
     Served(Bytes),
     /// Rejected; a retry by the client is harmless.
     Rejected {
-        /// When a retry makes sense, ms from now; 0: not told.
+        /// When a retry makes sense, ms from now; 0: none is given.
         retry_after: Millis,
     },
     /// Failed; may have been executed.
--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -16,7 +16,7 @@
 const BUCKET_WIDTH: Millis = 250.0;
 /// Shortest time between two counter calls for a tenant, ms: one bucket.
 pub(super) const SYNC_INTERVAL: Millis = 250.0;
-/// Units are told to the counter after this at the latest, ms, however few they are.
+/// Units are sent to the counter after this at the latest, ms, however few they are.
 const FLUSH_INTERVAL: Millis = 1000.0;
 /// Share of the burst that is worth a counter call: keeps calls rare and the window useful.
 const SYNC_SHARE: f64 = 0.1;
@@ -202,7 +202,7 @@
         backoff_factor.powf(1.0 - NEAR_QUOTA_RELIEF * quota_used)
     }
 
-    /// What is to be told to the counter now. The first call also reads what other gateways have told; while
+    /// What is to be sent to the counter now. The first call also reads what other gateways have sent; while
     /// the counter is congested it waits until the tenant's use could matter.
     pub(super) fn sync(&mut self, now: Millis, tenant: TenantId, backoff_factor: f64) -> SyncStatus {
         let unsent = self.forwarded.unsent() + self.not_forwarded.unsent();
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -43,7 +43,7 @@
 /// chance, several show that far too much is asked.
 const REJECTION_FACTOR: f64 = 1.4;
 const MAX_REJECTIONS_IN_A_ROW: u32 = 4;
-/// Upper bound of the factor: for a counter that bears one request in hundreds.
+/// Upper bound of the factor: for a counter that can serve one request in hundreds.
 const MAX_BACKOFF_FACTOR: f64 = 400.0;
 /// Calls fail together: the factor rises once in this time, ms.
 const BACKOFF_RAISE_INTERVAL: Millis = 200.0;
@@ -175,7 +175,7 @@
     }
 }
 
-/// Whether a backoff factor stands for a counter that cannot bear all calls.
+/// Whether a backoff factor stands for a counter that cannot serve all calls.
 pub(super) fn is_congested(backoff_factor: f64) -> bool {
     backoff_factor > CONGESTED
 }
--- a/src/policy/endpoint_index.rs
+++ b/src/policy/endpoint_index.rs
@@ -38,7 +38,7 @@
     /// No block is empty.
     pub(super) blocks: Vec<Block>,
     transitions: BTreeSet<Transition>,
-    /// Number of the present whole list.
+    /// Number of the present complete list.
     listing: u32,
     len: usize,
     ready: usize,
@@ -107,8 +107,8 @@
         &self.blocks[position.block].slots[position.slot].server
     }
 
-    /// Changes that its health or localities follow from have to be told by [`EndpointIndex::set_health`] and
-    /// [`EndpointIndex::update_localities`].
+    /// Changes that its health or localities follow from must be followed by [`EndpointIndex::set_health`]
+    /// and [`EndpointIndex::update_localities`].
     pub(super) fn at_mut(&mut self, position: EndpointPosition) -> &mut TrackedEndpoint {
         &mut self.blocks[position.block].slots[position.slot].server
     }
@@ -214,12 +214,12 @@
         }
     }
 
-    /// Begins a whole list: servers not entered until [`EndpointIndex::remove_unlisted`] are not in it.
+    /// Begins a complete list: servers not entered until [`EndpointIndex::remove_unlisted`] are not in it.
     pub(super) fn begin_list(&mut self) {
         self.listing = self.listing.wrapping_add(1);
     }
 
-    /// Ends a whole list.
+    /// Ends a complete list.
     pub(super) fn remove_unlisted(&mut self) {
         let slots = self.blocks.iter().flat_map(|block| &block.slots);
         let unlisted: Vec<u64> =
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -96,8 +96,8 @@
 
     /// Takes in news of the list.
     pub(super) fn apply_endpoints(&mut self, now: Millis, update: EndpointUpdate, entries: Vec<Endpoint>) {
-        let whole = update != EndpointUpdate::Incremental;
-        if whole {
+        let complete = update != EndpointUpdate::Incremental;
+        if complete {
             self.index.begin_list();
         }
         for endpoint in entries {
@@ -110,7 +110,7 @@
             self.index.update_localities(position);
             self.refresh_health(now, position);
         }
-        if whole {
+        if complete {
             self.index.remove_unlisted();
         }
     }
@@ -216,8 +216,8 @@
         let allowed = self.allowed_servers(request);
         let excluded = self.already_attempted(request);
         let rate_per_server = send_rate / self.index.warm().max(1) as f64;
-        // Ejection holds while half of the fleet is healthy. Past that the trouble is everyone's, and only
-        // servers that cannot be reached stay out.
+        // Ejection holds while half of the fleet is healthy. Past that the failures have a common cause, and
+        // only servers that cannot be reached stay out.
         let ejection_active = 2 * self.index.healthy() >= self.index.ready();
         let mut candidates = std::mem::take(&mut self.candidates);
         candidates.begin(max_size);
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -82,7 +82,7 @@
     pending_calls: VecDeque<PendingCall>,
     recent_rejections: Option<RejectionRatio>,
     cached_usage: Option<CachedUsage>,
-    /// Units forwarded on a cached read that the counter has not been told.
+    /// Units forwarded on a cached read that have not been sent to the counter.
     unsent: f64,
 }
 
@@ -135,7 +135,8 @@
         (reservation, reservation.units + std::mem::take(&mut self.unsent))
     }
 
-    /// What was forwarded on cached reads and is to be told now; none while the last read is fresh.
+    /// What was forwarded on cached reads and is to be sent to the counter now; none while the last read is
+    /// fresh.
     pub(super) fn begin_flush(
         &mut self,
         now: Millis,
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,5 +1,5 @@
 //! The retry budget: retries and hedged requests are paid for by first attempts, so that they stay a small
-//! share of the traffic while the servers are in trouble. A token bucket, as in Finagle's `RetryBudget`.
+//! share of the traffic while the servers are failing. A token bucket, as in Finagle's `RetryBudget`.
 
 /// Retries earned by each first attempt.
 const RATIO: f64 = 0.1;
--- a/src/policy/tally.rs
+++ b/src/policy/tally.rs
@@ -1,4 +1,4 @@
-//! What this gateway has told the counter of a tenant's units of one disposition, and what it last read.
+//! What this gateway has sent to the counter of a tenant's units of one disposition, and what it last read.
 
 use super::counter_key::COUNTER_KEY_SPAN;
 use crate::ids::{CounterKey, Millis};
@@ -23,7 +23,7 @@
 
 /// One counter of a tenant as this gateway uses it.
 pub(super) struct Tally {
-    /// Units that the counter has not been told.
+    /// Units that have not been sent to the counter.
     unsent: f64,
     /// Units of the call that is in flight.
     awaiting_reply: Option<f64>,
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -20,7 +20,7 @@
 
 /// How a tenant's use of its quota is followed.
 pub(super) enum Usage {
-    /// Counted here and told to the counter in batches.
+    /// Counted here and sent to the counter in batches.
     Batched(BatchedUsage),
     /// Reserved on the counter, one call a request: this gateway alone sees too little of it.
     LowTraffic(LowTrafficUsage),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether there is a quota to be told to the counter.
+    /// Whether there is a quota, and so something to count.
     pub(super) fn has_quota(&self) -> bool {
         self.plan.rate > 0.0
     }
