--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -92,7 +92,7 @@
         let gateway = setup.start();
         eventually("connections", || counter.connections.load(Ordering::SeqCst) >= 4);
         let clients = send_requests(&gateway, "disconnected", client_count(kind));
-        eventually("a call", || counter.asked.load(Ordering::SeqCst) > 0);
+        eventually("a call", || counter.requests_seen.load(Ordering::SeqCst) > 0);
         wait_until_read(&gateway);
         clients.into_iter().for_each(|client| disconnect(client, kind));
         wait_for_disconnects(&gateway, 0);
@@ -168,7 +168,7 @@
 
 impl FloodBeingForwarded {
     /// Returns as soon as the server has seen `min_attempts` of the flood.
-    fn start(gateway: &Limiter, server: &Server, min_attempts: usize) -> Self {
+    fn start(gateway: &GatewayProcess, server: &Server, min_attempts: usize) -> Self {
         let paused = PausedGateway::pause(gateway);
         let clients = send_requests(gateway, "disconnected", FLOOD_SIZE);
         let others = send_requests(gateway, "other", FLOOD_SIZE);
--- a/tests/client_disconnect/clients.rs
+++ b/tests/client_disconnect/clients.rs
@@ -1,6 +1,6 @@
 //! Clients that send requests and disconnect in different ways.
 
-use crate::support::{Client, Limiter, Message, Server};
+use crate::support::{Client, GatewayProcess, Message, Server};
 use socket2::SockRef;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -77,7 +77,7 @@
 }
 
 /// Sends a request that can be told from others by the name in its path.
-pub fn send_request(gateway: &Limiter, name: &str) -> Client {
+pub fn send_request(gateway: &GatewayProcess, name: &str) -> Client {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let mut client = gateway.client();
@@ -92,12 +92,12 @@
     client
 }
 
-pub fn send_requests(gateway: &Limiter, name: &str, count: usize) -> Vec<Client> {
+pub fn send_requests(gateway: &GatewayProcess, name: &str, count: usize) -> Vec<Client> {
     (0..count).map(|_| send_request(gateway, name)).collect()
 }
 
 /// Sends a request of the idempotent class, which may be hedged.
-pub fn send_idempotent_request(gateway: &Limiter, name: &str) -> Client {
+pub fn send_idempotent_request(gateway: &GatewayProcess, name: &str) -> Client {
     let mut client = gateway.client();
     let port = client.stream.local_addr().expect("an address").port();
     let request = format!(
@@ -118,6 +118,6 @@
 }
 
 /// Waits until the gateway has read what was written to it before: it answers in order.
-pub fn wait_until_read(gateway: &Limiter) {
+pub fn wait_until_read(gateway: &GatewayProcess) {
     assert_eq!(gateway.client().get("/healthz", "").status(), 200);
 }
--- a/tests/client_disconnect/paused_gateway.rs
+++ b/tests/client_disconnect/paused_gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::{attempts_seen, disconnect_all};
 use crate::sockets::{client_ports, wait_until_server_has_seen_all, CLOSE_WAIT, ESTABLISHED};
-use crate::support::{eventually, Client, Limiter, Server};
+use crate::support::{eventually, Client, GatewayProcess, Server};
 use std::collections::HashSet;
 use std::process::Command;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 }
 
 impl PausedGateway {
-    pub fn pause(gateway: &Limiter) -> Self {
+    pub fn pause(gateway: &GatewayProcess) -> Self {
         gateway.signal("-STOP");
         let stat = format!("/proc/{}/stat", gateway.child.id());
         eventually("the gateway is paused", || {
@@ -34,7 +34,7 @@
 
 /// Clients whose requests are named `disconnected`, and whose late attempts are counted.
 pub struct DisconnectingClients<'a> {
-    pub gateway: &'a Limiter,
+    pub gateway: &'a GatewayProcess,
     pub server: &'a Server,
     pub clients: Vec<Client>,
 }
--- a/tests/client_disconnect/sockets.rs
+++ b/tests/client_disconnect/sockets.rs
@@ -1,6 +1,6 @@
 //! States of connections, as the kernel tells them.
 
-use crate::support::{eventually, Limiter, Server};
+use crate::support::{eventually, GatewayProcess, Server};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -51,13 +51,13 @@
 }
 
 /// Ports of the clients whose connections are in these states at the gateway's end.
-pub fn client_ports(gateway: &Limiter, states: &[&str]) -> Vec<u16> {
+pub fn client_ports(gateway: &GatewayProcess, states: &[&str]) -> Vec<u16> {
     let entries = sockets_at(gateway.address).into_iter();
     entries.filter(|entry| states.contains(&entry.state.as_str())).map(|entry| entry.remote_port()).collect()
 }
 
 /// Waits until the gateway has noticed the disconnects: it holds so many connections of clients and no more.
-pub fn wait_for_disconnects(gateway: &Limiter, remaining: usize) {
+pub fn wait_for_disconnects(gateway: &GatewayProcess, remaining: usize) {
     eventually("the gateway closes the connections of those who disconnected", || {
         client_ports(gateway, &[ESTABLISHED, CLOSE_WAIT]).len() == remaining
     });
--- a/tests/client_disconnect/stage_scenario.rs
+++ b/tests/client_disconnect/stage_scenario.rs
@@ -7,7 +7,8 @@
     ONE_IN_FLIGHT_PLAN,
 };
 use crate::support::{
-    answer, around, eventually, Act, Client, Counter, Discovery, Gate, Limiter, Message, Server, Unreachable,
+    answer, eventually, start_stubs, Client, Counter, Discovery, Gate, GatewayProcess, Message, Server,
+    StubResponse, Unreachable,
 };
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
@@ -42,22 +43,22 @@
 const SLOT_TIME: Duration = Duration::from_millis(20);
 
 /// The server's part in a scenario.
-fn respond(stage: RequestStage, gate: &Gate, message: &Message) -> Act {
+fn respond(stage: RequestStage, gate: &Gate, message: &Message) -> StubResponse {
     let is_disconnected = has_name(message, "disconnected");
     match stage {
         RequestStage::AwaitingRetry if is_disconnected => {
             gate.wait();
-            Act::Write(answer("503 Busy", "X-Unprocessed: 1\r\n", b""))
+            StubResponse::Write(answer("503 Busy", "X-Unprocessed: 1\r\n", b""))
         }
-        RequestStage::AwaitingHedge if is_disconnected => Act::Silence,
+        RequestStage::AwaitingHedge if is_disconnected => StubResponse::Silence,
         RequestStage::AwaitingTenantSlot if is_disconnected => {
-            Act::Late(SLOT_TIME, answer("200 OK", "", b"good"))
+            StubResponse::Late(SLOT_TIME, answer("200 OK", "", b"good"))
         }
         _ => {
             if has_name(message, "slow") {
                 gate.wait();
             }
-            Act::Write(answer("200 OK", "", b"good"))
+            StubResponse::Write(answer("200 OK", "", b"good"))
         }
     }
 }
@@ -65,7 +66,7 @@
 /// A gateway that holds requests named `disconnected` in one stage until they are released.
 pub struct StageScenario {
     stage: RequestStage,
-    pub gateway: Limiter,
+    pub gateway: GatewayProcess,
     pub server: Server,
     clients: Vec<Client>,
     unreachable: Option<Unreachable>,
@@ -86,7 +87,7 @@
         if stage == RequestStage::AwaitingConcurrencySlot {
             members.truncate(10);
         }
-        let (mut setup, discovery, counter) = around(&members);
+        let (mut setup, discovery, counter) = start_stubs(&members);
         allow_flood(&mut setup);
         setup.cancellation_allowed = cancellation_allowed;
         let mut counters = vec![counter];
@@ -152,7 +153,7 @@
 }
 
 /// What has to have happened before requests can be held in this stage.
-fn prepare(stage: RequestStage, gateway: &Limiter, counters: &[Counter]) {
+fn prepare(stage: RequestStage, gateway: &GatewayProcess, counters: &[Counter]) {
     match stage {
         RequestStage::AwaitingCounter => {
             let gated = counters.last().expect("a counter");
@@ -161,14 +162,14 @@
         RequestStage::AwaitingHedge => {
             // A hedged request follows after eight mean response times, which are about 0.1 s by then.
             let mut client = gateway.client();
-            (0..40).for_each(|_| assert_eq!(client.look().status(), 200));
+            (0..40).for_each(|_| assert_eq!(client.get_idempotent().status(), 200));
         }
         _ => {}
     }
 }
 
 /// Sends slow requests that take all slots for which others then wait.
-fn take_slots(stage: RequestStage, gateway: &Limiter, server: &Server) -> Vec<Client> {
+fn take_slots(stage: RequestStage, gateway: &GatewayProcess, server: &Server) -> Vec<Client> {
     let count = match stage {
         RequestStage::AwaitingTenantSlot => 1,
         // Eight a server, over two gateways.
@@ -180,7 +181,7 @@
     slow_clients
 }
 
-fn send_requests_for(stage: RequestStage, gateway: &Limiter) -> Vec<Client> {
+fn send_requests_for(stage: RequestStage, gateway: &GatewayProcess) -> Vec<Client> {
     match stage {
         RequestStage::AwaitingHedge => {
             (0..5).map(|_| send_idempotent_request(gateway, "disconnected")).collect()
--- a/tests/client_disconnect/stubs.rs
+++ b/tests/client_disconnect/stubs.rs
@@ -1,11 +1,13 @@
 //! Stub peers that wait at a gate, and gateways set up for them.
 
 use crate::clients::has_name;
-use crate::support::{answer, around, member, Act, Counter, Discovery, Gate, Limiter, Server, Setup};
+use crate::support::{
+    answer, member, start_stubs, Counter, Discovery, Gate, GatewayProcess, Server, Setup, StubResponse,
+};
 use std::net::SocketAddr;
 
 pub fn setup_for(server: SocketAddr) -> (Setup, Discovery, Counter) {
-    around(&[member("s-00000001", server, "Ready")])
+    start_stubs(&[member("s-00000001", server, "Ready")])
 }
 
 /// A server that makes requests named `slow` wait at a gate before it answers them with these bytes.
@@ -14,9 +16,9 @@
     Server::start(move |message| {
         if has_name(message, "slow") {
             gate.wait();
-            return Act::Write(response.clone());
+            return StubResponse::Write(response.clone());
         }
-        Act::Write(answer("200 OK", "", b"good"))
+        StubResponse::Write(answer("200 OK", "", b"good"))
     })
 }
 
@@ -55,8 +57,8 @@
 }
 
 /// A gateway that accepts a whole flood.
-pub fn start_gateway_for_flood(server: &Server) -> (Limiter, Discovery, Counter) {
-    let (mut setup, discovery, counter) = around(&many_endpoints_at(server.address));
+pub fn start_gateway_for_flood(server: &Server) -> (GatewayProcess, Discovery, Counter) {
+    let (mut setup, discovery, counter) = start_stubs(&many_endpoints_at(server.address));
     allow_flood(&mut setup);
     (setup.start(), discovery, counter)
 }
--- a/tests/end_to_end/client_requests.rs
+++ b/tests/end_to_end/client_requests.rs
@@ -24,7 +24,7 @@
 fn requests_and_bodies_are_forwarded_unchanged() {
     let body: Vec<u8> = (0..60_000u32).map(|i| (i * 7 % 251) as u8).collect();
     let want = body.clone();
-    let server = Server::start(move |_| Act::Write(ok_response(&body)));
+    let server = Server::start(move |_| StubResponse::Write(ok_response(&body)));
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     client.send("POST", "book", "X-Time-Left: 1.5\r\nIdempotency-Key: 5c0f6e\r\n", b"{\"part\": 1}");
@@ -108,7 +108,7 @@
     client.stream.write_all(format!("{long}Content-Length: 9\r\n\r\nhalf").as_bytes()).expect("sent");
     client.stream.shutdown(std::net::Shutdown::Write).expect("a close");
     assert_ne!(client.read().map(|m| m.status()), Some(200), "an incomplete request");
-    assert_eq!(gateway.client().look().status(), 200);
+    assert_eq!(gateway.client().get_idempotent().status(), 200);
     assert_eq!(server.count(), 2, "no rejected request was forwarded");
 }
 
@@ -116,7 +116,7 @@
 /// responses, so it is rejected; the id is free again once the first is answered or its client has left.
 #[test]
 fn the_id_of_a_request_in_flight_is_rejected_and_can_be_used_again_afterwards() {
-    let server = Server::start(|_| Act::Late(Duration::from_millis(300), ok_response(b"mine")));
+    let server = Server::start(|_| StubResponse::Late(Duration::from_millis(300), ok_response(b"mine")));
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let (mut first, mut other) = (gateway.client(), gateway.client());
     first.stream.write_all(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("sent");
@@ -174,13 +174,13 @@
 /// attempt is cancelled by closing its connection.
 #[test]
 fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
-    let server = Server::start(|_| Act::Silence);
+    let server = Server::start(|_| StubResponse::Silence);
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     client.send("GET", "look", "X-Time-Left: 30\r\n", b"");
     eventually("the attempt", || server.count() == 1);
     drop(client);
-    let idle = server.closed.recv_timeout(PATIENCE).expect("a closed connection");
+    let idle = server.closed.recv_timeout(WAIT_TIMEOUT).expect("a closed connection");
     assert!(idle < Duration::from_millis(1000), "only closed after {idle:?}");
 }
 
@@ -206,7 +206,7 @@
         .collect();
     let start = Instant::now();
     for _ in 0..10 {
-        assert_eq!(gateway.client().look().status(), 200);
+        assert_eq!(gateway.client().get_idempotent().status(), 200);
     }
     assert!(start.elapsed() < Duration::from_millis(1500), "after {:?}", start.elapsed());
     drop(silent);
@@ -222,6 +222,8 @@
     let mut gateway = setup.start();
     let clients: Vec<Client> = (0..90).map(|_| gateway.client()).collect();
     drop(clients);
-    eventually("a response after the clients have gone", || gateway.client().look().status() == 200);
+    eventually("a response after the clients have gone", || {
+        gateway.client().get_idempotent().status() == 200
+    });
     assert!(gateway.child.try_wait().expect("a status").is_none(), "the gateway has exited");
 }
--- a/tests/end_to_end/counter_service.rs
+++ b/tests/end_to_end/counter_service.rs
@@ -24,10 +24,10 @@
     let mut client = gateway.client();
     eventually("connections", || counter.connections.load(Ordering::SeqCst) >= 4);
     eventually("further calls", || {
-        assert_eq!(client.look().status(), 200);
+        assert_eq!(client.get_idempotent().status(), 200);
         counter.calls.load(Ordering::SeqCst) >= 3
     });
-    assert_eq!(client.look().status(), 200);
+    assert_eq!(client.get_idempotent().status(), 200);
     assert_eq!(counter.connections.load(Ordering::SeqCst), 4, "a connection was replaced");
 }
 
@@ -45,7 +45,7 @@
     setup.counter = counter.address;
     let gateway = setup.start();
     let mut client = gateway.client();
-    eventually("the reported use fills the quota", || client.look().status() == 429);
+    eventually("the reported use fills the quota", || client.get_idempotent().status() == 429);
 }
 
 /// The counter is overloaded, refuses calls or replies with invalid lines. Requests are served without it.
@@ -59,10 +59,10 @@
         let gateway = setup.start();
         let mut client = gateway.client();
         eventually("a call", || {
-            assert_eq!(client.look().status(), 200);
+            assert_eq!(client.get_idempotent().status(), 200);
             counter.calls.load(Ordering::SeqCst) > 0
         });
-        assert_eq!(client.look().status(), 200, "after {bytes:?}");
+        assert_eq!(client.get_idempotent().status(), 200, "after {bytes:?}");
     }
 }
 
@@ -83,7 +83,7 @@
     let mut requests = 0.0;
     eventually("further calls", || {
         requests += 1.0;
-        assert_eq!(client.look().status(), 200);
+        assert_eq!(client.get_idempotent().status(), 200);
         counter.calls.load(Ordering::SeqCst) >= 4
     });
     let added = || *counter.added.lock().expect("a lock");
@@ -104,7 +104,7 @@
     let mut rejected = 0;
     for _ in 0..20 {
         let start = Instant::now();
-        let response = client.look();
+        let response = client.get_idempotent();
         if response.status() == 200 {
             continue;
         }
@@ -138,7 +138,7 @@
             let address = l.address;
             std::thread::spawn(move || {
                 let mut client = Client::connect(address);
-                let statuses: Vec<u16> = (0..300).map(|_| client.look().status()).collect();
+                let statuses: Vec<u16> = (0..300).map(|_| client.get_idempotent().status()).collect();
                 statuses.iter().all(|s| matches!(s, 200 | 429))
             })
         })
--- a/tests/end_to_end/endpoint_watch.rs
+++ b/tests/end_to_end/endpoint_watch.rs
@@ -37,7 +37,7 @@
     discovery.write(&event(4, false, &[entry(2, &c, "Gone"), entry(0, &a, "Ready")]));
     assert_idle_connection_closed(&c);
     let at_withdrawal = c.count();
-    assert_eq!(client.look().status(), 200);
+    assert_eq!(client.get_idempotent().status(), 200);
     assert_eq!((a.count(), c.count()), (at_drain + 1, at_withdrawal));
 }
 
@@ -48,14 +48,14 @@
     let (a, b) = (Server::ok(), Server::ok());
     let (gateway, discovery, _counter) = start_gateway(&[&a]);
     eventually("a watch", || discovery.watching() == 1);
-    assert_eq!(gateway.client().look().status(), 200);
+    assert_eq!(gateway.client().get_idempotent().status(), 200);
     *discovery.list.lock().expect("a lock") = list(9, true, &[entry(1, &b, "Ready")]);
     discovery.write("{\"revision\": oops\n");
     eventually("a new watch", || discovery.watching() == 2);
-    let asked = discovery.asked.lock().expect("a lock").clone();
+    let asked = discovery.requests_seen.lock().expect("a lock").clone();
     assert!(asked[1].contains("/v1/servers HTTP"), "asked {asked:?}");
     assert!(asked[2].contains("since=9"), "asked {asked:?}");
-    assert_eq!(gateway.client().look().status(), 200);
+    assert_eq!(gateway.client().get_idempotent().status(), 200);
     assert_eq!((a.count(), b.count()), (1, 1));
 }
 
@@ -75,7 +75,7 @@
     let at_drain = a.count();
     assert_eq!(concurrent_statuses(&gateway, 8), [200; 8]);
     assert_eq!(a.count(), at_drain);
-    let asked = discovery.asked.lock().expect("a lock").clone();
+    let asked = discovery.requests_seen.lock().expect("a lock").clone();
     assert_eq!(asked.len(), 1, "the watch was reopened: {asked:?}");
 }
 
@@ -99,9 +99,9 @@
         let at_first = a.count();
         discovery.write(&bad);
         eventually("a new watch", || discovery.watching() == 2);
-        let asked = discovery.asked.lock().expect("a lock").clone();
+        let asked = discovery.requests_seen.lock().expect("a lock").clone();
         assert!(asked[1].contains("/v1/servers HTTP") && asked[2].contains("since=9"), "{bad:?}: {asked:?}");
-        assert_eq!(gateway.client().look().status(), 200, "{bad:?}");
+        assert_eq!(gateway.client().get_idempotent().status(), 200, "{bad:?}");
         assert_eq!(a.count(), at_first, "{bad:?}: forwarded to a server that is not in the complete list");
     }
 }
@@ -119,8 +119,8 @@
     eventually("a new watch", || discovery.watching() == 2);
     // Nor is one that comes on the watch itself requested again.
     discovery.write(&event(10, true, &[bad, entry(0, &a, "Terminating")]));
-    eventually("the drain", || gateway.client().look().status() != 200);
-    assert_eq!(discovery.asked.lock().expect("a lock").len(), 3);
+    eventually("the drain", || gateway.client().get_idempotent().status() != 200);
+    assert_eq!(discovery.requests_seen.lock().expect("a lock").len(), 3);
 }
 
 /// Discovery does not respond when the gateway starts. It serves from its cached list, keeps asking, and
@@ -129,17 +129,17 @@
 fn discovery_that_is_down_at_the_start_is_used_once_it_is_back() {
     let (a, b) = (Server::ok(), Server::ok());
     let (setup, discovery, _counter) = gateway_setup(&[&a]);
-    discovery.deaf.store(true, Ordering::SeqCst);
+    discovery.unresponsive.store(true, Ordering::SeqCst);
     let gateway = setup.start();
     // Serves from its cached list, and keeps asking.
-    assert_eq!(gateway.client().look().status(), 200);
+    assert_eq!(gateway.client().get_idempotent().status(), 200);
     eventually("several requests", || discovery.calls() >= 3);
     *discovery.list.lock().expect("a lock") = list(7, true, &[entry(1, &b, "Ready")]);
-    discovery.deaf.store(false, Ordering::SeqCst);
+    discovery.unresponsive.store(false, Ordering::SeqCst);
     eventually("a watch", || discovery.watching() == 1);
     discovery.write(&event(8, false, &[entry(0, &a, "Gone"), entry(1, &b, "Ready")]));
     assert_idle_connection_closed(&a);
-    assert_eq!(gateway.client().look().status(), 200);
+    assert_eq!(gateway.client().get_idempotent().status(), 200);
     assert_eq!((a.count(), b.count()), (1, 1));
 }
 
@@ -154,14 +154,14 @@
     eventually("a watch", || first.watching() == 1);
     let change = event(5, false, &[entry(1, &b, "Ready")]);
     first.write(&change);
-    eventually("the change", || gateway.client().look().status() == 200 && b.count() > 0);
+    eventually("the change", || gateway.client().get_idempotent().status() == 200 && b.count() > 0);
     first.write(&change[..40]);
     first.reset();
     eventually("a new watch", || first.watching() == 1);
-    let asked = first.asked.lock().expect("a lock").clone();
+    let asked = first.requests_seen.lock().expect("a lock").clone();
     assert!(asked.last().is_some_and(|a| a.contains("follow=1&since=5")), "{asked:?}");
     // A reload names another agent while the first one is silent.
-    first.deaf.store(true, Ordering::SeqCst);
+    first.unresponsive.store(true, Ordering::SeqCst);
     first.reset();
     let before = first.calls();
     eventually("a request that is not answered", || first.calls() > before);
@@ -170,12 +170,12 @@
     setup.discovery = second.address;
     gateway.reload(&setup.config());
     eventually("a watch at the new agent", || second.watching() == 1);
-    let asked = second.asked.lock().expect("a lock").clone();
+    let asked = second.requests_seen.lock().expect("a lock").clone();
     assert!(asked[0].contains("/v1/servers HTTP"), "revisions of two agents need not agree: {asked:?}");
     // Its list was applied before the watch was opened.
     let (at_a, late) = (a.count(), first.calls());
     let mut client = gateway.client();
-    assert!((0..8).all(|_| client.look().status() == 200));
+    assert!((0..8).all(|_| client.get_idempotent().status() == 200));
     assert_eq!(a.count(), at_a, "only the new agent's list counts");
     assert_eq!(first.calls(), late, "the old agent still gets requests");
 }
@@ -187,7 +187,7 @@
     let server = Server::ok();
     let (_gateway, discovery, _counter) = start_gateway(&[&server]);
     eventually("a watch", || discovery.watching() == 1);
-    discovery.mute.store(true, Ordering::SeqCst);
+    discovery.silent_watches.store(true, Ordering::SeqCst);
     let start = Instant::now();
     eventually("a new watch", || discovery.watching() == 2);
     assert!(start.elapsed() < Duration::from_secs(4), "after {:?}", start.elapsed());
--- a/tests/end_to_end/lifecycle.rs
+++ b/tests/end_to_end/lifecycle.rs
@@ -10,7 +10,8 @@
 /// connections are served for a while, idle ones are closed, and the address is free for the next process.
 #[test]
 fn sigterm_completes_requests_in_flight_and_releases_the_address() {
-    let server = Server::start(|_| Act::Late(Duration::from_millis(900), ok_response(b"late but complete")));
+    let server =
+        Server::start(|_| StubResponse::Late(Duration::from_millis(900), ok_response(b"late but complete")));
     let (mut setup, _discovery, _counter) = gateway_setup(&[&server]);
     let mut gateway = setup.start();
     let mut client = gateway.client();
@@ -32,14 +33,14 @@
     assert!(stopped.elapsed() < Duration::from_millis(3700), "ended after {:?}", stopped.elapsed());
     setup.listen = gateway.address.to_string();
     let again = setup.start();
-    assert_eq!(again.client().look().status(), 200);
+    assert_eq!(again.client().get_idempotent().status(), 200);
 }
 
 /// A server stays silent while the gateway shuts down. The client must get an error instead of a reset
 /// connection.
 #[test]
 fn a_request_that_a_shutdown_cannot_complete_is_still_answered() {
-    let server = Server::start(|_| Act::Silence);
+    let server = Server::start(|_| StubResponse::Silence);
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut gateway = gateway;
     let mut client = gateway.client();
@@ -57,8 +58,8 @@
 #[test]
 fn a_reload_moves_discovery_and_counter_and_loses_nothing() {
     let slow = Server::start(|m| match m.start.starts_with("POST") {
-        true => Act::Late(Duration::from_millis(1200), ok_response(b"late but complete")),
-        false => Act::Write(ok_response(b"")),
+        true => StubResponse::Late(Duration::from_millis(1200), ok_response(b"late but complete")),
+        false => StubResponse::Write(ok_response(b"")),
     });
     let other = Server::ok();
     let (mut setup, first, counter) = gateway_setup(&[&slow]);
@@ -68,7 +69,7 @@
     let mut look_until = |what: &str, holds: &dyn Fn() -> bool| {
         eventually(what, || {
             requests += 1.0;
-            assert_eq!(client.look().status(), 200);
+            assert_eq!(client.get_idempotent().status(), 200);
             holds()
         });
     };
@@ -81,7 +82,7 @@
     (setup.discovery, setup.counter) = (second.address, moved.address);
     gateway.reload(&setup.config());
     eventually("a watch at the new agent", || second.watching() == 1);
-    let first_request = second.asked.lock().expect("a lock")[0].clone();
+    let first_request = second.requests_seen.lock().expect("a lock")[0].clone();
     assert!(first_request.contains("/v1/servers HTTP"), "{first_request}");
     look_until("the new server", &|| other.count() > 0);
     look_until("the new counter", &|| moved.calls.load(Ordering::SeqCst) > 0);
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -19,7 +19,7 @@
     X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 2.0\r\nX-Quota: units=1,spread=2,first=0\r\n";
 
 /// A gateway that knows these servers from the start, with its discovery and counter.
-fn start_gateway(servers: &[&Server]) -> (Limiter, Discovery, Counter) {
+fn start_gateway(servers: &[&Server]) -> (GatewayProcess, Discovery, Counter) {
     let (setup, discovery, counter) = gateway_setup(servers);
     (setup.start(), discovery, counter)
 }
@@ -45,7 +45,7 @@
 
 /// The statuses of requests that are not idempotent, all of them written before the first response is read,
 /// so that every server gets some.
-fn concurrent_statuses(gateway: &Limiter, count: usize) -> Vec<u16> {
+fn concurrent_statuses(gateway: &GatewayProcess, count: usize) -> Vec<u16> {
     let mut clients: Vec<Client> = (0..count).map(|_| gateway.client()).collect();
     clients.iter_mut().for_each(|client| client.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}"));
     clients.iter_mut().map(|client| client.read().expect("a response").status()).collect()
@@ -53,7 +53,7 @@
 
 /// An idle connection to the server is closed long before its idle timeout.
 fn assert_idle_connection_closed(server: &Server) {
-    let idle = server.closed.recv_timeout(PATIENCE).expect("a closed connection");
+    let idle = server.closed.recv_timeout(WAIT_TIMEOUT).expect("a closed connection");
     assert!(idle < Duration::from_secs(6), "an idle connection stayed open for {idle:?}");
 }
 
--- a/tests/end_to_end/upstream_responses.rs
+++ b/tests/end_to_end/upstream_responses.rs
@@ -10,7 +10,7 @@
 /// one is.
 #[test]
 fn a_reset_after_the_last_byte_is_retried_only_for_idempotent_requests() {
-    let (failing, healthy) = (Server::start(|_| Act::Close(Vec::new())), Server::ok());
+    let (failing, healthy) = (Server::start(|_| StubResponse::Close(Vec::new())), Server::ok());
     let (gateway, _discovery, _counter) = start_gateway(&[&failing, &healthy]);
     let statuses = concurrent_statuses(&gateway, 12);
     let failed = statuses.iter().filter(|s| **s == 502).count();
@@ -19,7 +19,7 @@
     assert_eq!((failing.count(), healthy.count()), (failed, 12 - failed), "one attempt each");
     let mut client = gateway.client();
     for _ in 0..6 {
-        assert_eq!(client.look().status(), 200);
+        assert_eq!(client.get_idempotent().status(), 200);
     }
 }
 
@@ -27,7 +27,7 @@
 /// so even requests that are not idempotent are retried elsewhere and all succeed.
 #[test]
 fn a_request_that_was_rejected_unprocessed_or_found_no_connection_is_retried() {
-    let overloaded = Server::start(|_| Act::Write(answer("503 Busy", "X-Unprocessed: 1\r\n", b"")));
+    let overloaded = Server::start(|_| StubResponse::Write(answer("503 Busy", "X-Unprocessed: 1\r\n", b"")));
     let unreachable = Server::ok();
     let healthy = Server::ok();
     // Bound but not listening: connections are refused, and no other test can get the port.
@@ -52,9 +52,9 @@
     for bytes in
         [answer("503 Busy", "", b""), answer("500 Error", "", b"x"), truncated, b"nonsense\r\n\r\n".to_vec()]
     {
-        let server = Server::start(move |_| Act::Close(bytes.clone()));
+        let server = Server::start(move |_| StubResponse::Close(bytes.clone()));
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
-        assert_eq!(gateway.client().once("1.9").status(), 502);
+        assert_eq!(gateway.client().post_non_idempotent("1.9").status(), 502);
         assert_eq!(server.count(), 1);
     }
 }
@@ -63,15 +63,15 @@
 /// waits, and the attempt's connection is closed.
 #[test]
 fn a_silent_server_costs_the_client_no_more_than_its_timeout() {
-    let server = Server::start(|_| Act::Silence);
+    let server = Server::start(|_| StubResponse::Silence);
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     let start = Instant::now();
-    let status = client.once("0.4").status();
+    let status = client.post_non_idempotent("0.4").status();
     let elapsed = start.elapsed();
     assert!(matches!(status, 502 | 504), "{status} though it may have been executed");
     assert!(elapsed < Duration::from_millis(400), "answered after {elapsed:?}");
-    assert!(server.closed.recv_timeout(PATIENCE).is_ok(), "the attempt's connection was left open");
+    assert!(server.closed.recv_timeout(WAIT_TIMEOUT).is_ok(), "the attempt's connection was left open");
 }
 
 #[test]
@@ -82,27 +82,27 @@
     let gateway = setup.start();
     let mut client = gateway.client();
     for _ in 0..5 {
-        assert_eq!(client.look().status(), 200);
+        assert_eq!(client.get_idempotent().status(), 200);
         // Longer than the reuse delay of a connection.
         std::thread::sleep(Duration::from_millis(60));
     }
     assert_eq!(server.connections.load(Ordering::SeqCst), 1, "consecutive requests share a connection");
-    let idle = server.closed.recv_timeout(PATIENCE).expect("a closed connection");
+    let idle = server.closed.recv_timeout(WAIT_TIMEOUT).expect("a closed connection");
     assert!(idle < Duration::from_millis(2800), "idle for {idle:?}");
-    assert_eq!(client.look().status(), 200);
+    assert_eq!(client.get_idempotent().status(), 200);
 }
 
 /// A server closes its connection right after a good response. Were the next request sent on it, it would
 /// be lost with an unknown outcome and, not being idempotent, fail.
 #[test]
 fn a_connection_that_the_server_closed_is_not_reused() {
-    let server = Server::start(|m| Act::Close(ok_response(m.start.as_bytes())));
+    let server = Server::start(|m| StubResponse::Close(ok_response(m.start.as_bytes())));
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     for _ in 0..20 {
-        assert_eq!(client.once("1.9").status(), 200);
+        assert_eq!(client.post_non_idempotent("1.9").status(), 200);
         // The close is in the gateway's socket now, whether or not its runtime has noticed.
-        server.closed.recv_timeout(PATIENCE).expect("a close");
+        server.closed.recv_timeout(WAIT_TIMEOUT).expect("a close");
     }
 }
 
@@ -114,7 +114,7 @@
     for wait in [0, 1, 5, 50] {
         let server = Server::start(move |m| {
             let body = m.header("x-correlation-id").expect("an id").as_bytes().to_vec();
-            Act::Twice(ok_response(&body), Duration::from_millis(wait), ok_response(&body))
+            StubResponse::Twice(ok_response(&body), Duration::from_millis(wait), ok_response(&body))
         });
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
         let mut client = gateway.client();
@@ -127,7 +127,7 @@
                 (200, id.as_str().into())
             );
             // The duplicate has been written.
-            server.wrote.recv_timeout(PATIENCE).expect("a duplicate");
+            server.wrote.recv_timeout(WAIT_TIMEOUT).expect("a duplicate");
         }
         assert!(server.connections.load(Ordering::SeqCst) >= 10, "a connection with bytes on it was kept");
     }
@@ -154,14 +154,14 @@
         &stream,
     ] {
         let bytes = invalid.as_bytes().to_vec();
-        let server = Server::start(move |_| Act::Write(bytes.clone()));
+        let server = Server::start(move |_| StubResponse::Write(bytes.clone()));
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
         let start = Instant::now();
-        let status = gateway.client().once("1.9").status();
+        let status = gateway.client().post_non_idempotent("1.9").status();
         let head: String = invalid.chars().take(60).collect();
         assert_eq!((status, server.count()), (502, 1), "{head:?}");
         assert!(start.elapsed() < Duration::from_millis(1000), "{head:?} after {:?}", start.elapsed());
-        assert!(server.closed.recv_timeout(PATIENCE).is_ok(), "{head:?}: its connection was kept");
+        assert!(server.closed.recv_timeout(WAIT_TIMEOUT).is_ok(), "{head:?}: its connection was kept");
     }
     for good in ["HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n", "HTTP/1.1 100 Continue\r\n\r\n"] {
         let bytes = [
@@ -169,9 +169,9 @@
             &answer("200 OK", "X-Backend-Load: \u{1}=-7,,\r\n".replace('\u{1}', "q").as_str(), b"good"),
         ]
         .concat();
-        let server = Server::start(move |_| Act::Write(bytes.clone()));
+        let server = Server::start(move |_| StubResponse::Write(bytes.clone()));
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
-        assert_eq!(gateway.client().once("1.9").body, b"good", "{good:?}");
+        assert_eq!(gateway.client().post_non_idempotent("1.9").body, b"good", "{good:?}");
     }
 }
 
@@ -180,13 +180,13 @@
 #[test]
 fn invalid_responses_do_not_put_the_only_server_out_of_use() {
     let server = Server::start(|m| match m.start.starts_with("POST") {
-        true => Act::Write(b"noise\r\n\r\n".to_vec()),
-        false => Act::Write(ok_response(b"")),
+        true => StubResponse::Write(b"noise\r\n\r\n".to_vec()),
+        false => StubResponse::Write(ok_response(b"")),
     });
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     for _ in 0..3 {
-        assert_eq!(client.once("1.9").status(), 502);
+        assert_eq!(client.post_non_idempotent("1.9").status(), 502);
     }
-    assert_eq!(client.look().status(), 200);
+    assert_eq!(client.get_idempotent().status(), 200);
 }
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -26,7 +26,7 @@
 }
 
 /// Processor time that the gateway has used.
-fn processor_time(gateway: &Limiter) -> Duration {
+fn processor_time(gateway: &GatewayProcess) -> Duration {
     let path = format!("/proc/{}/schedstat", gateway.child.id());
     let text = std::fs::read_to_string(path).expect("the kernel's account");
     let spent = text.split(' ').next().and_then(|ns| ns.parse().ok()).expect("a number");
@@ -35,10 +35,10 @@
 
 /// The watch is still the one it was: the whole fleet moves to another server, and the change is in force with no call
 /// more.
-fn assert_watch_kept(gateway: &Limiter, discovery: &Discovery, calls: usize, next: &Server) {
+fn assert_watch_kept(gateway: &GatewayProcess, discovery: &Discovery, calls: usize, next: &Server) {
     discovery.write(&complete_list(9, next, false));
-    eventually("the change", || gateway.client().look().status() == 200 && next.count() > 0);
-    let asked = discovery.asked.lock().expect("a lock").clone();
+    eventually("the change", || gateway.client().get_idempotent().status() == 200 && next.count() > 0);
+    let asked = discovery.requests_seen.lock().expect("a lock").clone();
     assert_eq!(asked.len(), calls, "asked again: {asked:?}");
 }
 
@@ -51,19 +51,19 @@
         let text = complete_list(7, &server, indented);
         let (discovery, counter) = (Discovery::start(text.clone()), Counter::ok());
         discovery.piece.store(SEGMENT_BYTES, Ordering::SeqCst);
-        discovery.deaf.store(true, Ordering::SeqCst);
+        discovery.unresponsive.store(true, Ordering::SeqCst);
         let gateway = Setup::new(discovery.address, counter.address, "null").launch();
         eventually("calls that are not answered", || discovery.calls() >= 2);
         assert_ne!(gateway.client().get("/healthz", "").status(), 200);
         let (start, spent) = (Instant::now(), processor_time(&gateway));
-        discovery.deaf.store(false, Ordering::SeqCst);
+        discovery.unresponsive.store(false, Ordering::SeqCst);
         eventually("healthz", || gateway.client().get("/healthz", "").status() == 200);
         let (elapsed, spent) = (start.elapsed(), processor_time(&gateway) - spent);
         println!(
             "complete list, {} bytes, indented {indented}: ready after {elapsed:?}, {spent:?} spent",
             text.len()
         );
-        assert_eq!(gateway.client().look().status(), 200);
+        assert_eq!(gateway.client().get_idempotent().status(), 200);
         eventually("a watch", || discovery.watching() == 1);
         assert_watch_kept(&gateway, &discovery, discovery.calls(), &next);
     }
@@ -74,14 +74,14 @@
 fn a_complete_list_of_thousands_is_applied_over_a_watch() {
     for indented in [false, true] {
         let (old, server, next) = (Server::ok(), Server::ok(), Server::ok());
-        let (setup, discovery, _counter) = around(&[member("s-0fffffff", old.address, "Ready")]);
+        let (setup, discovery, _counter) = start_stubs(&[member("s-0fffffff", old.address, "Ready")]);
         discovery.piece.store(SEGMENT_BYTES, Ordering::SeqCst);
         let gateway = setup.start();
         eventually("a watch", || discovery.watching() == 1);
         let text = complete_list(7, &server, indented);
         let (start, spent) = (Instant::now(), processor_time(&gateway));
         discovery.write(&text);
-        eventually("the list", || gateway.client().look().status() == 200 && server.count() > 0);
+        eventually("the list", || gateway.client().get_idempotent().status() == 200 && server.count() > 0);
         let (elapsed, spent) = (start.elapsed(), processor_time(&gateway) - spent);
         println!(
             "on a watch, {} bytes, indented {indented}: in force after {elapsed:?}, {spent:?}",
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -17,7 +17,7 @@
         if message.start.starts_with("POST /long") {
             gate.wait();
         }
-        Act::Write(answer("200 OK", "", &body))
+        StubResponse::Write(answer("200 OK", "", &body))
     })
 }
 
@@ -29,14 +29,14 @@
 }
 
 /// A client with a small receive buffer, so that a large response does not fit.
-fn client_with_small_buffer(gateway: &Limiter) -> Client {
+fn client_with_small_buffer(gateway: &GatewayProcess) -> Client {
     let client = gateway.client();
     SockRef::from(&client.stream).set_recv_buffer_size(2048).expect("a buffer");
     client
 }
 
 /// Sends a request that waits at the server's gate.
-fn send_gated_request(gateway: &Limiter) -> Client {
+fn send_gated_request(gateway: &GatewayProcess) -> Client {
     let mut client = gateway.client();
     client.send("POST", "long", GATED_REQUEST_TIME_LEFT, b"{}");
     client
@@ -59,9 +59,11 @@
 }
 
 /// Tells the gateway to shut down, and waits until it announces closes.
-fn begin_shutdown(gateway: &Limiter) {
+fn begin_shutdown(gateway: &GatewayProcess) {
     gateway.terminate();
-    eventually("the shutdown begins", || gateway.client().look().header("connection") == Some("close"));
+    eventually("the shutdown begins", || {
+        gateway.client().get_idempotent().header("connection") == Some("close")
+    });
 }
 
 /// All connections of a small gateway have a request in flight, and more wait to be accepted, when the shutdown begins.
@@ -70,7 +72,7 @@
 fn connections_waiting_to_be_accepted_when_the_shutdown_begins_are_served() {
     let gate = Gate::default();
     let server = gated_server(&gate, b"whole".to_vec());
-    let (mut setup, _discovery, _counter) = around(&often(&server));
+    let (mut setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     // The smallest gateway has room for eight clients.
     setup.sockets = 0;
     let mut gateway = setup.start();
@@ -94,19 +96,19 @@
 fn further_signals_during_the_shutdown_lose_no_request() {
     let gate = Gate::default();
     let server = gated_server(&gate, b"whole".to_vec());
-    let (setup, _discovery, _counter) = around(&often(&server));
+    let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let mut gateway = setup.start();
     let mut client = send_gated_request(&gateway);
     eventually("the attempt", || server.count() == 1);
     gateway.terminate();
     let mut new = gateway.client();
-    assert_eq!(new.look().status(), 200);
+    assert_eq!(new.get_idempotent().status(), 200);
     gateway.terminate();
     gateway.reload("{");
     gateway.reload(&setup.config());
     gateway.terminate();
     let mut late = gateway.client();
-    assert_eq!(late.look().status(), 200);
+    assert_eq!(late.get_idempotent().status(), 200);
     gate.open();
     let response = client.read().expect("a response");
     assert_eq!((response.status(), response.body.as_slice()), (200, &b"whole"[..]));
@@ -122,7 +124,7 @@
 
 /// Sends requests on one connection, each with a path of its own, until the connection is closed.
 fn send_until_closed(
-    gateway: &Limiter,
+    gateway: &GatewayProcess,
     name: String,
     pause: Duration,
 ) -> std::thread::JoinHandle<Vec<RequestResult>> {
@@ -156,7 +158,7 @@
 #[test]
 fn requests_on_kept_connections_during_the_shutdown_are_answered_or_were_never_forwarded() {
     let server = Server::ok();
-    let (setup, _discovery, _counter) = around(&often(&server));
+    let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let mut gateway = setup.start();
     // At many rates, so that closes and requests cross in all ways.
     let kept: Vec<_> = (0..40u64)
@@ -168,7 +170,7 @@
     // New connections come for a while longer, and each of them is owed a response.
     let mut new_connections = 0;
     while start.elapsed() < Duration::from_millis(350) {
-        assert_eq!(gateway.client().once("1.9").status(), 200);
+        assert_eq!(gateway.client().post_non_idempotent("1.9").status(), 200);
         new_connections += 1;
     }
     assert!(new_connections > 0);
@@ -192,7 +194,7 @@
 fn a_new_connection_can_send_its_first_request_during_the_shutdown() {
     let gate = Gate::default();
     let server = gated_server(&gate, b"whole".to_vec());
-    let (setup, _discovery, _counter) = around(&often(&server));
+    let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let mut gateway = setup.start();
     // Keeps the shutdown from ending.
     let mut held = send_gated_request(&gateway);
@@ -220,7 +222,7 @@
 fn a_response_that_is_not_read_delays_neither_the_shutdown_nor_others() {
     let gate = Gate::default();
     let server = gated_server(&gate, large_body());
-    let (setup, _discovery, _counter) = around(&often(&server));
+    let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let mut gateway = setup.start();
     let mut stalled = client_with_small_buffer(&gateway);
     stalled.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}");
@@ -242,7 +244,7 @@
 fn pipelined_requests_are_all_answered_when_the_shutdown_begins() {
     let gate = Gate::default();
     let server = gated_server(&gate, b"whole".to_vec());
-    let (setup, _discovery, _counter) = around(&often(&server));
+    let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let mut gateway = setup.start();
     let first = named_request("first").replace("once", "long").replace("Left: 1.9", "Left: 20");
     // Some in one write with the first, and more than one read can take: they wait in the parser's buffer and in the
@@ -269,7 +271,7 @@
 fn a_response_arrives_complete_if_the_client_sends_more_after_its_close_was_announced() {
     let gate = Gate::default();
     let server = gated_server(&gate, large_body());
-    let (setup, _discovery, _counter) = around(&often(&server));
+    let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let mut gateway = setup.start();
     let mut client = client_with_small_buffer(&gateway);
     client.send("POST", "long", GATED_REQUEST_TIME_LEFT, b"{}");
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -9,32 +9,34 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
-use support::{around, list, member, often, Client, Counter, Discovery, Limiter, Server, Setup};
+use support::{
+    endpoints_of, list, member, start_stubs, Client, Counter, Discovery, GatewayProcess, Server, Setup,
+};
 
 /// Nine in ten have to be ready within this.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 /// Processes that are started together, unless `LIMITERS` says otherwise.
 const LIMITERS: usize = 10;
 
-fn limiters() -> usize {
+fn gateways() -> usize {
     std::env::var("LIMITERS").ok().and_then(|n| n.parse().ok()).unwrap_or(LIMITERS)
 }
 
 /// Processor time that a process has had so far.
-fn processor_time(limiter: &Limiter) -> Duration {
-    let path = format!("/proc/{}/schedstat", limiter.child.id());
+fn processor_time(gateway: &GatewayProcess) -> Duration {
+    let path = format!("/proc/{}/schedstat", gateway.child.id());
     let text = std::fs::read_to_string(path).expect("its processor time");
     Duration::from_nanos(text.split(' ').next().and_then(|ns| ns.parse().ok()).expect("a number"))
 }
 
-/// What a start took until the limiter was ready.
+/// What a start took until the gateway was ready.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct StartTime {
     elapsed: Duration,
     processor_time: Duration,
 }
 
-/// Starts limiters all at once.
+/// Starts gateways all at once.
 fn start_times(count: usize, setup: impl Fn() -> Setup + Send + Sync + 'static) -> Vec<StartTime> {
     let setup = Arc::new(setup);
     let barrier = Arc::new(Barrier::new(count));
@@ -44,17 +46,17 @@
             std::thread::spawn(move || {
                 barrier.wait();
                 let started = Instant::now();
-                let limiter = setup().start();
-                StartTime { elapsed: started.elapsed(), processor_time: processor_time(&limiter) }
+                let gateway = setup().start();
+                StartTime { elapsed: started.elapsed(), processor_time: processor_time(&gateway) }
             })
         })
         .collect();
     threads.into_iter().map(|thread| thread.join().expect("a limiter that is ready")).collect()
 }
 
-/// Starts limiters all at once, prints how long they took to be ready, and holds nine in ten to the bound.
+/// Starts gateways all at once, prints how long they took to be ready, and holds nine in ten to the bound.
 fn assert_ready_soon(name: &str, setup: impl Fn() -> Setup + Send + Sync + 'static) {
-    let count = limiters();
+    let count = gateways();
     let mut times = start_times(count, setup);
     times.sort();
     let max_processor_time = times.iter().map(|time| time.processor_time).max().expect("a time");
@@ -86,31 +88,31 @@
     }
 }
 
-/// Discovery is down when the limiters start: calls to it are never answered. Each has a cached list, and has to serve
+/// Discovery is down when the gateways start: calls to it are never answered. Each has a cached list, and has to serve
 /// with that.
 #[test]
 fn limiters_with_a_cached_list_are_ready_soon_while_discovery_is_silent() {
     let cached = list(1, true, &members(5700));
     let discovery = Discovery::start(cached.clone());
     let counter = Counter::ok();
-    discovery.deaf.store(true, Ordering::SeqCst);
+    discovery.unresponsive.store(true, Ordering::SeqCst);
     let (discovery_address, counter_address) = (discovery.address, counter.address);
     let setup = move || Setup::new(discovery_address, counter_address, &cached);
     assert_ready_soon("discovery silent, an old list", setup);
 }
 
-/// A limiter shuts down and closes its connections first, so that its side keeps them in TIME_WAIT. The next process
+/// A gateway shuts down and closes its connections first, so that its side keeps them in TIME_WAIT. The next process
 /// has to listen on the same port all the same.
 #[test]
 fn a_restarted_limiter_listens_on_its_port_while_connections_are_in_time_wait() {
     let server = Server::ok();
-    let (mut setup, _discovery, _counter) = around(&often(&server));
+    let (mut setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     // An address of its own: no other test is given the port meanwhile.
     setup.listen = "127.64.0.1:0".into();
     let mut before = setup.start();
     setup.listen = before.address.to_string();
     let mut clients: Vec<Client> = (0..20).map(|_| before.client()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.look().status(), 200));
+    clients.iter_mut().for_each(|client| assert_eq!(client.get_idempotent().status(), 200));
     before.terminate();
     clients.iter_mut().for_each(|client| assert!(client.read().is_none()));
     drop(clients);
@@ -124,7 +126,7 @@
         started.elapsed()
     );
     assert!(started.elapsed() < READY_WITHIN);
-    assert_eq!(after.client().look().status(), 200);
+    assert_eq!(after.client().get_idempotent().status(), 200);
 }
 
 /// Connections of an address in TIME_WAIT.
--- a/tests/settings_variety.rs
+++ b/tests/settings_variety.rs
@@ -96,7 +96,7 @@
 fn every_class_and_plan_is_served_whatever_the_settings_are() {
     for (what, settings) in variants() {
         let server = Server::ok();
-        let (mut setup, _discovery, _counter) = around(&often(&server));
+        let (mut setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
         setup.settings = Some(settings);
         let mut gateway = setup.start();
         let mut client = gateway.client();
@@ -129,7 +129,7 @@
 /// not those of the others. The request must fail rather than run twice, and the draining server gets nothing.
 #[test]
 fn a_drain_is_heeded_and_a_non_idempotent_class_is_not_retried_under_other_names_too() {
-    let dies = Server::start(|_| Act::Close(Vec::new()));
+    let dies = Server::start(|_| StubResponse::Close(Vec::new()));
     let ok = Server::ok();
     let known = list(
         1,
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -1,6 +1,6 @@
-//! A client of the limiter.
+//! A client of the gateway.
 
-use super::{read_message, Message, PATIENCE};
+use super::{read_message, Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -19,7 +19,7 @@
     /// Connects.
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         let reader = BufReader::new(stream.try_clone().expect("a clone"));
         Client { stream, reader }
     }
@@ -51,20 +51,20 @@
         read_message(&mut self.reader)
     }
 
-    /// The response to a GET without the limiter's own headers; `headers` are whole lines.
+    /// The response to a GET without the gateway's own headers; `headers` are whole lines.
     pub fn get(&mut self, path: &str, headers: &str) -> Message {
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\n{headers}\r\n");
         self.raw(request.as_bytes()).expect("a response")
     }
 
     /// The response to a request of the idempotent class.
-    pub fn look(&mut self) -> Message {
+    pub fn get_idempotent(&mut self) -> Message {
         self.send("GET", "look", "X-Time-Left: 2.0\r\n", b"");
         self.read().expect("a response")
     }
 
     /// The response to a request of the class that is not idempotent, with so many seconds left.
-    pub fn once(&mut self, left: &str) -> Message {
+    pub fn post_non_idempotent(&mut self, left: &str) -> Message {
         self.send("POST", "once", &format!("X-Time-Left: {left}\r\n"), b"{}");
         self.read().expect("a response")
     }
--- a/tests/support/counter.rs
+++ b/tests/support/counter.rs
@@ -15,7 +15,7 @@
     /// Calls for which `twist` was called.
     pub calls: Arc<AtomicUsize>,
     /// Calls that were read, whether or not `twist` has returned for them.
-    pub asked: Arc<AtomicUsize>,
+    pub requests_seen: Arc<AtomicUsize>,
     /// Connections that were accepted.
     pub connections: Arc<AtomicUsize>,
 }
@@ -29,13 +29,13 @@
             totals: Arc::default(),
             added: Arc::default(),
             calls: Arc::default(),
-            asked: Arc::default(),
+            requests_seen: Arc::default(),
         };
         let counter = Counter {
             address: listener.local_addr().expect("an address"),
             added: handler.added.clone(),
             calls: handler.calls.clone(),
-            asked: handler.asked.clone(),
+            requests_seen: handler.requests_seen.clone(),
             connections: Arc::default(),
         };
         let connections = counter.connections.clone();
@@ -62,7 +62,7 @@
     totals: Arc<Mutex<HashMap<String, f64>>>,
     added: Arc<Mutex<f64>>,
     calls: Arc<AtomicUsize>,
-    asked: Arc<AtomicUsize>,
+    requests_seen: Arc<AtomicUsize>,
 }
 
 impl Handler {
@@ -78,7 +78,7 @@
     fn reply(&self, line: &str) -> Vec<u8> {
         let words: Vec<&str> = line.split(' ').collect();
         let ["bump", name, add, _] = words[..] else { return b"pong\r\n".to_vec() };
-        self.asked.fetch_add(1, Ordering::SeqCst);
+        self.requests_seen.fetch_add(1, Ordering::SeqCst);
         let total = self.add(name, add.parse().expect("an amount"));
         (self.twist)(self.calls.fetch_add(1, Ordering::SeqCst), total)
     }
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -21,12 +21,12 @@
     /// The complete list.
     pub list: Arc<Mutex<String>>,
     /// Request lines of the calls that have come.
-    pub asked: Arc<Mutex<Vec<String>>>,
+    pub requests_seen: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
     /// Watches send no empty lines, as if they were dead.
-    pub mute: Arc<AtomicBool>,
+    pub silent_watches: Arc<AtomicBool>,
     /// Calls are accepted and never answered, as by an agent while discovery is down.
-    pub deaf: Arc<AtomicBool>,
+    pub unresponsive: Arc<AtomicBool>,
     /// What is written goes out in pieces of so many bytes.
     pub piece: Arc<AtomicUsize>,
 }
@@ -38,23 +38,23 @@
         let discovery = Discovery {
             address: listener.local_addr().expect("an address"),
             list: Arc::new(Mutex::new(list)),
-            asked: Arc::default(),
+            requests_seen: Arc::default(),
             watches: Arc::default(),
-            mute: Arc::default(),
-            deaf: Arc::default(),
+            silent_watches: Arc::default(),
+            unresponsive: Arc::default(),
             piece: Arc::new(AtomicUsize::new(usize::MAX)),
         };
         let mut handler = Handler {
             list: discovery.list.clone(),
-            asked: discovery.asked.clone(),
+            requests_seen: discovery.requests_seen.clone(),
             watches: discovery.watches.clone(),
-            deaf: discovery.deaf.clone(),
+            unresponsive: discovery.unresponsive.clone(),
             piece: discovery.piece.clone(),
             unanswered: Vec::new(),
         };
         std::thread::spawn(move || listener.incoming().flatten().for_each(|stream| handler.serve(stream)));
-        let (watches, mute) = (discovery.watches.clone(), discovery.mute.clone());
-        std::thread::spawn(move || send_heartbeats(&watches, &mute));
+        let (watches, silent_watches) = (discovery.watches.clone(), discovery.silent_watches.clone());
+        std::thread::spawn(move || send_heartbeats(&watches, &silent_watches));
         discovery
     }
 
@@ -77,7 +77,7 @@
 
     /// Calls that have come.
     pub fn calls(&self) -> usize {
-        self.asked.lock().expect("a lock").len()
+        self.requests_seen.lock().expect("a lock").len()
     }
 
     /// Watches that are open.
@@ -86,10 +86,10 @@
     }
 }
 
-fn send_heartbeats(watches: &Mutex<Vec<TcpStream>>, mute: &AtomicBool) {
+fn send_heartbeats(watches: &Mutex<Vec<TcpStream>>, silent_watches: &AtomicBool) {
     loop {
         std::thread::sleep(HEARTBEAT);
-        if !mute.load(Ordering::SeqCst) {
+        if !silent_watches.load(Ordering::SeqCst) {
             for stream in watches.lock().expect("a lock").iter_mut() {
                 let _ = stream.write_all(HEARTBEAT_CHUNK);
             }
@@ -100,9 +100,9 @@
 /// Answers the calls, one after the other.
 struct Handler {
     list: Arc<Mutex<String>>,
-    asked: Arc<Mutex<Vec<String>>>,
+    requests_seen: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
-    deaf: Arc<AtomicBool>,
+    unresponsive: Arc<AtomicBool>,
     piece: Arc<AtomicUsize>,
     /// Connections that came while the agent was deaf; they stay open.
     unanswered: Vec<TcpStream>,
@@ -113,8 +113,8 @@
         let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
         stream.set_nodelay(true).expect("no delay");
         let Some(message) = read_message(&mut reader) else { return };
-        self.asked.lock().expect("a lock").push(message.start.clone());
-        if self.deaf.load(Ordering::SeqCst) {
+        self.requests_seen.lock().expect("a lock").push(message.start.clone());
+        if self.unresponsive.load(Ordering::SeqCst) {
             self.unanswered.push(stream);
         } else if message.start.contains("follow=1") {
             let _ = stream.write_all(&[WATCH_HEAD, HEARTBEAT_CHUNK].concat());
--- a/tests/support/gate.rs
+++ b/tests/support/gate.rs
@@ -1,6 +1,6 @@
 //! A gate that threads wait at.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use std::sync::{Arc, Condvar, Mutex};
 
 #[derive(Default)]
@@ -23,7 +23,7 @@
     /// Waits until the gate is open.
     pub fn wait(&self) {
         let open = self.0.open.lock().expect("a lock");
-        let waited = self.0.opened.wait_timeout_while(open, PATIENCE, |open| !*open);
+        let waited = self.0.opened.wait_timeout_while(open, WAIT_TIMEOUT, |open| !*open);
         assert!(!waited.expect("a lock").1.timed_out(), "a gate was never opened");
     }
 }
--- a/tests/support/limiter.rs
+++ b/tests/support/gateway_process.rs
@@ -1,6 +1,6 @@
-//! The limiter's process.
+//! The gateway's process.
 
-use super::{Client, PATIENCE};
+use super::{Client, WAIT_TIMEOUT};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,8 +14,8 @@
 /// Numbers the configuration files of this process.
 static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
 
-/// A running limiter; it is killed when this is dropped.
-pub struct Limiter {
+/// A running gateway; it is killed when this is dropped.
+pub struct GatewayProcess {
     /// The process.
     pub child: Child,
     /// Where it serves.
@@ -25,10 +25,10 @@
     path: PathBuf,
 }
 
-impl Limiter {
-    /// Starts a limiter with a configuration and waits until it listens. The shell limits its descriptors, if they
+impl GatewayProcess {
+    /// Starts a gateway with a configuration and waits until it listens. The shell limits its descriptors, if they
     /// are to be limited.
-    pub(super) fn launch(config: &str, descriptors: Option<usize>, gateways: usize) -> Limiter {
+    pub(super) fn launch(config: &str, descriptors: Option<usize>, gateways: usize) -> GatewayProcess {
         let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let name = format!("rate-limiting-gateway-{}-{number}.json", std::process::id());
         let path = std::env::temp_dir().join(name);
@@ -37,7 +37,7 @@
         command.env("PROXY_CONFIG", &path).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the limiter");
         let address = wait_for_address(child.stderr.take().expect("a log"));
-        Limiter { child, address, gateways, path }
+        GatewayProcess { child, address, gateways, path }
     }
 
     /// Connects a client.
@@ -64,7 +64,7 @@
 
     /// Waits for the process and gives its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("a status") {
                 return status.code();
@@ -75,7 +75,7 @@
     }
 }
 
-impl Drop for Limiter {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -95,7 +95,7 @@
     }
 }
 
-/// Reads the log up to the address that the limiter serves at; a thread discards the rest.
+/// Reads the log up to the address that the gateway serves at; a thread discards the rest.
 fn wait_for_address(log: ChildStderr) -> SocketAddr {
     let mut lines = BufReader::new(log).lines();
     let address = loop {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! Stub servers, discovery and counter on loopback sockets, clients, and the real limiter started against them.
+//! Stub servers, discovery and counter on loopback sockets, clients, and the real gateway started against them.
 //!
 //! The stubs panic where a test can't go on. Those of the capacity program return errors and do less, so that they cost
-//! little beside the limiter; the two have nothing but the wire in common.
+//! little beside the gateway; the two have nothing but the wire in common.
 
 mod client;
 mod counter;
 mod discovery;
 mod gate;
-mod limiter;
+mod gateway_process;
 mod message;
 mod server;
 mod setup;
@@ -21,10 +21,10 @@
     counter::Counter,
     discovery::{list, member, Discovery},
     gate::Gate,
-    limiter::Limiter,
+    gateway_process::GatewayProcess,
     message::{answer, read_message, Message},
-    server::{often, Act, Server},
-    setup::{around, Setup, WIDE},
+    server::{endpoints_of, Server, StubResponse},
+    setup::{start_stubs, Setup, WIDE},
     unreachable::Unreachable,
-    wait::{eventually, within, PATIENCE},
+    wait::{eventually, within, WAIT_TIMEOUT},
 };
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// What a server does with a request.
-pub enum Act {
+pub enum StubResponse {
     /// Writes these bytes.
     Write(Vec<u8>),
     /// Waits, then writes.
@@ -18,7 +18,7 @@
     Close(Vec<u8>),
     /// Writes bytes, waits, and writes others that nobody asked for.
     Twice(Vec<u8>, Duration, Vec<u8>),
-    /// Writes nothing until the limiter closes.
+    /// Writes nothing until the gateway closes.
     Silence,
 }
 
@@ -30,20 +30,23 @@
     pub seen: Arc<Mutex<Vec<Message>>>,
     /// How many connections were accepted.
     pub connections: Arc<AtomicUsize>,
-    /// How long each connection had been quiet when the limiter closed it; zero where the server did.
+    /// How long each connection had been quiet when the gateway closed it; zero where the server did.
     pub closed: Receiver<Duration>,
-    /// The second write of each [`Act::Twice`] is done.
+    /// The second write of each [`StubResponse::Twice`] is done.
     pub wrote: Receiver<()>,
 }
 
 impl Server {
     /// Starts a server.
-    pub fn start(act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Server {
+    pub fn start(act: impl Fn(&Message) -> StubResponse + Send + Sync + 'static) -> Server {
         Server::on(TcpListener::bind("127.0.0.1:0").expect("a port"), act)
     }
 
     /// Starts a server on a listener.
-    pub(super) fn on(listener: TcpListener, act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Server {
+    pub(super) fn on(
+        listener: TcpListener,
+        act: impl Fn(&Message) -> StubResponse + Send + Sync + 'static,
+    ) -> Server {
         let address = listener.local_addr().expect("an address");
         let seen = Arc::new(Mutex::new(Vec::new()));
         let connections = Arc::new(AtomicUsize::new(0));
@@ -65,7 +68,7 @@
     /// A server that answers each request with its request line.
     pub fn ok() -> Server {
         Server::start(|message| {
-            Act::Write(answer("200 OK", "X-Backend-Load: queue=0\r\n", message.start.as_bytes()))
+            StubResponse::Write(answer("200 OK", "X-Backend-Load: queue=0\r\n", message.start.as_bytes()))
         })
     }
 
@@ -76,14 +79,14 @@
 }
 
 /// A server's entries under many ids, so that no limit on requests in flight at one is met.
-pub fn often(server: &Server) -> Vec<String> {
+pub fn endpoints_of(server: &Server) -> Vec<String> {
     (10..40).map(|id| member(&format!("s-000000{id}"), server.address, "Ready")).collect()
 }
 
 /// Serves connections of a server.
 #[derive(Clone)]
 struct Handler {
-    act: Arc<dyn Fn(&Message) -> Act + Send + Sync>,
+    act: Arc<dyn Fn(&Message) -> StubResponse + Send + Sync>,
     seen: Arc<Mutex<Vec<Message>>>,
     closed: Sender<Duration>,
     wrote: Sender<()>,
@@ -100,19 +103,19 @@
             };
             self.seen.lock().expect("a lock").push(message.clone());
             match (self.act)(&message) {
-                Act::Write(bytes) => _ = stream.write_all(&bytes),
-                Act::Twice(bytes, wait, more) => self.write_twice(&mut stream, bytes, wait, more),
-                Act::Late(wait, bytes) => {
+                StubResponse::Write(bytes) => _ = stream.write_all(&bytes),
+                StubResponse::Twice(bytes, wait, more) => self.write_twice(&mut stream, bytes, wait, more),
+                StubResponse::Late(wait, bytes) => {
                     std::thread::sleep(wait);
                     let _ = stream.write_all(&bytes);
                 }
-                Act::Close(bytes) => {
+                StubResponse::Close(bytes) => {
                     write_and_close(&mut stream, &bytes);
                     drop((stream, reader));
                     let _ = self.closed.send(Duration::ZERO);
                     return;
                 }
-                Act::Silence => {}
+                StubResponse::Silence => {}
             }
         }
     }
--- a/tests/support/setup.rs
+++ b/tests/support/setup.rs
@@ -1,9 +1,9 @@
-//! What a limiter is started with.
+//! What a gateway is started with.
 
-use super::{eventually, list, Counter, Discovery, Limiter};
+use super::{eventually, list, Counter, Discovery, GatewayProcess};
 use std::net::SocketAddr;
 
-/// What a limiter is started with.
+/// What a gateway is started with.
 pub struct Setup {
     /// Where it listens.
     pub listen: String,
@@ -105,21 +105,21 @@
         )
     }
 
-    /// Starts the limiter and waits until it is ready to serve.
-    pub fn start(&self) -> Limiter {
-        let limiter = self.launch();
-        eventually("healthz", || limiter.client().get("/healthz", "").status() == 200);
-        limiter
+    /// Starts the gateway and waits until it is ready to serve.
+    pub fn start(&self) -> GatewayProcess {
+        let gateway = self.launch();
+        eventually("healthz", || gateway.client().get("/healthz", "").status() == 200);
+        gateway
     }
 
-    /// Starts the limiter and waits until it listens.
-    pub fn launch(&self) -> Limiter {
-        Limiter::launch(&self.config(), self.descriptors, self.gateways)
+    /// Starts the gateway and waits until it listens.
+    pub fn launch(&self) -> GatewayProcess {
+        GatewayProcess::launch(&self.config(), self.descriptors, self.gateways)
     }
 }
 
 /// Discovery that holds these members, a counter, and a setup by which they are known from the start.
-pub fn around(members: &[String]) -> (Setup, Discovery, Counter) {
+pub fn start_stubs(members: &[String]) -> (Setup, Discovery, Counter) {
     let known = list(1, true, members);
     let discovery = Discovery::start(known.clone());
     let counter = Counter::ok();
--- a/tests/support/unreachable.rs
+++ b/tests/support/unreachable.rs
@@ -1,6 +1,6 @@
 //! A server to which no connection comes up until it is told to accept.
 
-use super::server::{Act, Server};
+use super::server::{Server, StubResponse};
 use super::{read_message, Message};
 use socket2::{Domain, Socket, Type};
 use std::io::{BufReader, Read};
@@ -42,13 +42,16 @@
     }
 
     /// Serves all connections from now on, and gives that server and what fills its queue.
-    pub fn serve(self, act: impl Fn(&Message) -> Act + Send + Sync + 'static) -> (Server, Vec<TcpStream>) {
+    pub fn serve(
+        self,
+        act: impl Fn(&Message) -> StubResponse + Send + Sync + 'static,
+    ) -> (Server, Vec<TcpStream>) {
         // With a short queue some would be up at one end only, and what is sent on them come late.
         self.socket.listen(BACKLOG).expect("a listener");
         (Server::on(self.socket.into(), act), self.fill)
     }
 
-    /// Takes one connection of the limiter's and gives its first message.
+    /// Takes one connection of the gateway's and gives its first message.
     pub fn first_message(self) -> Message {
         let own = self.own_addresses();
         let listener: TcpListener = self.socket.into();
@@ -58,7 +61,7 @@
         read_message(&mut BufReader::new(stream)).expect("a request")
     }
 
-    /// Takes all connections from now on. Counts the bytes that come on them, and those of the limiter's
+    /// Takes all connections from now on. Counts the bytes that come on them, and those of the gateway's
     /// that have come up and are closed.
     pub fn open(self) -> (Arc<AtomicUsize>, Arc<AtomicUsize>) {
         let bytes = Arc::new(AtomicUsize::new(0));
@@ -69,10 +72,10 @@
             let listener: TcpListener = self.socket.into();
             let _fill = self.fill;
             while let Ok((stream, from)) = listener.accept() {
-                let (bytes, closed, is_limiters) = (bytes.clone(), closed.clone(), !own.contains(&from));
+                let (bytes, closed, is_gateways) = (bytes.clone(), closed.clone(), !own.contains(&from));
                 std::thread::spawn(move || {
                     count_bytes(stream, &bytes);
-                    closed.fetch_add(usize::from(is_limiters), Ordering::SeqCst);
+                    closed.fetch_add(usize::from(is_gateways), Ordering::SeqCst);
                 });
             }
         });
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest that anything here is waited for: a machine may be busy with far more than these tests.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The first and the longest pause between two looks at a condition.
 const FIRST_PAUSE: Duration = Duration::from_millis(2);
@@ -11,7 +11,7 @@
 
 /// Waits until a condition holds, and fails the test if it never does.
 pub fn eventually(what: &str, holds: impl FnMut() -> bool) {
-    assert!(within(PATIENCE, holds), "never: {what}");
+    assert!(within(WAIT_TIMEOUT, holds), "never: {what}");
 }
 
 /// Whether a condition holds within a time. Looks less and less often: a look may cost the machine much.
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -42,7 +42,7 @@
         let (a, at_a) = start_resetting_server(bytes);
         let (b, at_b) = start_resetting_server(bytes);
         let (setup, _discovery, _counter) =
-            around(&[member("s-00000001", a, "Ready"), member("s-00000002", b, "Ready")]);
+            start_stubs(&[member("s-00000001", a, "Ready"), member("s-00000002", b, "Ready")]);
         let gateway = setup.start();
         let mut client = gateway.client();
         client.send("POST", "once", "X-Time-Left: 1.9\r\n", &vec![b'x'; 64 * 1024]);
@@ -59,7 +59,8 @@
 fn nothing_is_sent_on_a_connection_that_comes_up_after_its_server_began_to_drain() {
     for (phase, cancellation_allowed) in [("Terminating", true), ("Gone", true), ("Terminating", false)] {
         let (unreachable, ok) = (Unreachable::new(), Server::ok());
-        let (mut setup, discovery, _counter) = around(&[member("s-00000001", unreachable.address, "Ready")]);
+        let (mut setup, discovery, _counter) =
+            start_stubs(&[member("s-00000001", unreachable.address, "Ready")]);
         (setup.connect_timeout, setup.cancellation_allowed) = (60_000.0, cancellation_allowed);
         let gateway = setup.start();
         eventually("a watch", || discovery.watching() == 1);
@@ -70,7 +71,7 @@
         let drained = member("s-00000001", unreachable.address, phase);
         let ready = member("s-00000002", ok.address, "Ready");
         discovery.write(&(list(2, false, &[drained, ready]) + "\n"));
-        eventually("the list is applied", || gateway.client().look().status() == 200);
+        eventually("the list is applied", || gateway.client().get_idempotent().status() == 200);
         let (bytes_received, closed) = unreachable.open();
         // It comes up when the kernel retransmits, after 1, 3 or 7 s.
         eventually("the connection is up and closed again", || closed.load(Ordering::SeqCst) > 0);
@@ -84,7 +85,7 @@
 #[test]
 fn nothing_is_sent_on_a_connection_that_comes_up_after_the_connect_timeout() {
     let (unreachable, ok) = (Unreachable::new(), Server::ok());
-    let (setup, _discovery, _counter) = around(&[
+    let (setup, _discovery, _counter) = start_stubs(&[
         member("s-00000001", unreachable.address, "Ready"),
         member("s-00000002", ok.address, "Ready"),
     ]);
@@ -95,7 +96,7 @@
         assert_eq!(client.read().map(|m| m.status()), Some(200));
     }
     let (bytes_received, _closed) = unreachable.open();
-    assert_eq!(gateway.client().look().status(), 200);
+    assert_eq!(gateway.client().get_idempotent().status(), 200);
     assert_eq!((bytes_received.load(Ordering::SeqCst), ok.count()), (0, 7));
 }
 
@@ -107,9 +108,9 @@
     let requests = AtomicUsize::new(0);
     let server = Server::start(move |m| {
         let delay = 250 + 2 * (requests.fetch_add(1, Ordering::SeqCst) as u64 % 30);
-        Act::Late(Duration::from_millis(delay), answer("200 OK", "", m.start.as_bytes()))
+        StubResponse::Late(Duration::from_millis(delay), answer("200 OK", "", m.start.as_bytes()))
     });
-    let (setup, _discovery, _counter) = around(&often(&server));
+    let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let gateway = setup.start();
     for class in ["once", "long"] {
         let mut clients: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
@@ -144,14 +145,14 @@
                 _ => held.open(),
             }
         }
-        Act::Write(answer("200 OK", "", m.start.as_bytes()))
+        StubResponse::Write(answer("200 OK", "", m.start.as_bytes()))
     });
-    let (setup, _discovery, _counter) = around(&often(&server));
+    let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let gateway = setup.start();
     let mut client = gateway.client();
     // Makes the mean latency short; a hedged attempt follows after a multiple of it.
     for _ in 0..150 {
-        assert_eq!(client.look().status(), 200);
+        assert_eq!(client.get_idempotent().status(), 200);
     }
     let slow = "GET /look?customer=00000000b4d65521&name=slow HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: slow\r\n\
          X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 2.0\r\nX-Quota: units=1,spread=2,first=0\r\n\r\n";
@@ -164,7 +165,7 @@
     gate.open();
     // Nothing is left on the connection: the next response is that of the next request.
     for _ in 0..5 {
-        let next = client.look();
+        let next = client.get_idempotent();
         assert_eq!(next.status(), 200);
         assert!(!next.body.windows(9).any(|w| w == b"name=slow"), "another request's response");
     }
@@ -175,7 +176,8 @@
 #[test]
 fn an_attempt_states_the_time_left_once_its_connection_is_up() {
     let unreachable = Unreachable::new();
-    let (mut setup, _discovery, _counter) = around(&[member("s-00000001", unreachable.address, "Ready")]);
+    let (mut setup, _discovery, _counter) =
+        start_stubs(&[member("s-00000001", unreachable.address, "Ready")]);
     setup.connect_timeout = 60_000.0;
     let gateway = setup.start();
     let mut client = gateway.client();
