--- a/capacity/tests/cost_growth.rs
+++ b/capacity/tests/cost_growth.rs
@@ -1,5 +1,5 @@
-//! Work that is counted and must not grow with the fleet: counter calls and their bytes, attempts, memory allocated. No
-//! time is measured here; `capacity policy-cost` does that.
+//! Work that is counted and must not grow with the fleet: counter calls and their bytes, attempts, memory
+//! allocated. No time is measured here; `capacity policy-cost` does that.
 
 use gateway_capacity::deployment::Deployment;
 use gateway_capacity::policy_cost::{Bench, Costs};
--- a/capacity/tests/simulated_fleet_figures.rs
+++ b/capacity/tests/simulated_fleet_figures.rs
@@ -1,5 +1,5 @@
-//! The simulated fleet gives the same figures for the same seeds as when these were recorded: by the program of
-//! commit 5f6c989, before the simulation was divided into modules. Processor time and memory are left out.
+//! The simulated fleet gives the same figures for the same seeds as when these were recorded: by the program
+//! of commit 5f6c989, before the simulation was divided into modules. Processor time and memory are left out.
 
 use gateway_capacity::deployment::Deployment;
 use gateway_capacity::measure::Report;
--- a/tests/action_stream.rs
+++ b/tests/action_stream.rs
@@ -1,9 +1,9 @@
 //! The actions of the decision module over seeded events, through the simulator's wire, held by a hash each.
 //!
-//! A rewrite that is meant to change no decision has to leave every byte of these replies as it was: the actions,
-//! their order, and with them the order of random draws. Each scenario is a small closed world (servers, a list, a
-//! counter and clients) around two or three gateways. A hash that has changed on purpose is recorded anew in the
-//! commit that changes it, which says why.
+//! A rewrite that is meant to change no decision has to leave every byte of these replies as it was: the
+//! actions, their order, and with them the order of random draws. Each scenario is a small closed world
+//! (servers, a list, a counter and clients) around two or three gateways. A hash that has changed on purpose
+//! is recorded anew in the commit that changes it, which says why.
 
 #[allow(dead_code)] // each file of tests uses its own part
 #[path = "support/frames.rs"]
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,6 +1,6 @@
-//! Clients that disconnect: nothing of a request is forwarded once its client has gone, whichever stage the request
-//! is in and however the client went. Each race is forced by a gate at which a stub peer waits, or by a gateway that
-//! is paused.
+//! Clients that disconnect: nothing of a request is forwarded once its client has gone, whichever stage the
+//! request is in and however the client went. Each race is forced by a gate at which a stub peer waits, or by
+//! a gateway that is paused.
 
 #[allow(dead_code)] // each file of tests uses its own part
 mod support;
@@ -25,10 +25,11 @@
 use stubs::*;
 use support::*;
 
-// ---- Disconnects that the gateway has noticed -----------------------------------------------------------------
+// ---- Disconnects that the gateway has noticed
+// -----------------------------------------------------------------
 
-/// A tenant's only slot is taken, and its further requests are queued. Their clients disconnect; then the slot
-/// becomes free. None of the queued requests may be forwarded, and the slot must serve others.
+/// A tenant's only slot is taken, and its further requests are queued. Their clients disconnect; then the
+/// slot becomes free. None of the queued requests may be forwarded, and the slot must serve others.
 #[test]
 fn a_queued_request_is_not_forwarded_after_its_client_disconnects() {
     for kind in DISCONNECT_KINDS {
@@ -68,8 +69,8 @@
             wait_for_disconnects(&gateway, 0);
             let (bytes_received, connections_ended) = server.open();
             if !cancellation_allowed {
-                // These attempts go on: their connections come up when the kernel tries again, after 1, 3 or 7 s,
-                // and end. One that never comes up had nothing sent on it either.
+                // These attempts go on: their connections come up when the kernel tries again, after 1, 3 or
+                // 7 s, and end. One that never comes up had nothing sent on it either.
                 within(Duration::from_secs(12), || connections_ended.load(Ordering::SeqCst) > 0);
             }
             assert_eq!(gateway.client().get("/healthz", "").status(), 200);
@@ -104,8 +105,8 @@
     }
 }
 
-/// A server is about to reject a request without executing it, so the gateway may retry it there or elsewhere. Its
-/// client disconnects before the rejection. There must be no further attempt.
+/// A server is about to reject a request without executing it, so the gateway may retry it there or
+/// elsewhere. Its client disconnects before the rejection. There must be no further attempt.
 #[test]
 fn a_request_is_not_retried_after_its_client_disconnects() {
     for cancellation_allowed in [true, false] {
@@ -136,15 +137,16 @@
     }
 }
 
-// ---- Disconnects that the gateway has had no time to notice ---------------------------------------------------
+// ---- Disconnects that the gateway has had no time to notice
+// ---------------------------------------------------
 
 /// Clients that disconnect at the same time.
 const FLOOD_SIZE: usize = 500;
 /// A pause may fall between the check of a client's socket and the write that follows: one case in each.
 const MAX_LATE_ATTEMPTS: usize = 1;
 
-/// Five hundred clients send a request each and disconnect before a busy gateway reads any of them. It must not
-/// forward the requests for nobody when it does.
+/// Five hundred clients send a request each and disconnect before a busy gateway reads any of them. It must
+/// not forward the requests for nobody when it does.
 #[test]
 fn a_flood_that_disconnects_before_it_is_read_is_not_forwarded() {
     let server = Server::ok();
@@ -178,8 +180,8 @@
     }
 }
 
-/// Five hundred clients disconnect while the gateway is forwarding their requests. Hundreds of its tasks are due
-/// before those that would notice the closes, and each of them may begin an attempt. None may.
+/// Five hundred clients disconnect while the gateway is forwarding their requests. Hundreds of its tasks are
+/// due before those that would notice the closes, and each of them may begin an attempt. None may.
 #[test]
 fn a_flood_that_disconnects_while_it_is_forwarded_is_not_forwarded_further() {
     for min_attempts in ATTEMPTS_BEFORE_DISCONNECT {
@@ -193,10 +195,11 @@
     }
 }
 
-// ---- Each stage of a request ----------------------------------------------------------------------------------
+// ---- Each stage of a request
+// ----------------------------------------------------------------------------------
 
-/// What a request waits for happens while the gateway is paused, and so do the disconnects of the clients. When the
-/// gateway goes on, it finds both at once and must not begin attempts for clients that have gone.
+/// What a request waits for happens while the gateway is paused, and so do the disconnects of the clients.
+/// When the gateway goes on, it finds both at once and must not begin attempts for clients that have gone.
 #[test]
 fn at_every_stage_a_request_is_not_forwarded_after_a_pause_in_which_its_client_disconnects() {
     for stage in REQUEST_STAGES {
@@ -222,8 +225,9 @@
     }
 }
 
-/// Clients disconnect from a running gateway, and 0.1 s later what their requests wait for happens. No attempt may
-/// begin. (A connection that comes up that late has a test above: where cancellation is allowed, none does.)
+/// Clients disconnect from a running gateway, and 0.1 s later what their requests wait for happens. No
+/// attempt may begin. (A connection that comes up that late has a test above: where cancellation is allowed,
+/// none does.)
 #[test]
 fn at_every_stage_a_request_is_not_forwarded_if_it_is_released_0_1_s_after_its_client_disconnects() {
     for stage in REQUEST_STAGES.into_iter().filter(|stage| *stage != RequestStage::Connecting) {
@@ -243,8 +247,8 @@
     }
 }
 
-/// Clients disconnect from a running gateway just when what their requests wait for happens. Attempts that have
-/// begun by then are unavoidable; later than 0.1 s after the disconnects there must be none.
+/// Clients disconnect from a running gateway just when what their requests wait for happens. Attempts that
+/// have begun by then are unavoidable; later than 0.1 s after the disconnects there must be none.
 #[test]
 fn no_attempt_begins_later_than_0_1_s_after_its_client_disconnects() {
     for stage in REQUEST_STAGES {
--- a/tests/client_disconnect/clients.rs
+++ b/tests/client_disconnect/clients.rs
@@ -60,7 +60,8 @@
     SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("linger");
 }
 
-/// Disconnects these clients at the same time, in all ways. Returns those that have half-closed and still read.
+/// Disconnects these clients at the same time, in all ways. Returns those that have half-closed and still
+/// read.
 pub fn disconnect_all(clients: Vec<Client>) -> Vec<Client> {
     let mut half_closed = Vec::new();
     for (i, client) in clients.into_iter().enumerate() {
--- a/tests/client_disconnect/paused_gateway.rs
+++ b/tests/client_disconnect/paused_gateway.rs
@@ -40,8 +40,8 @@
 }
 
 impl DisconnectingClients<'_> {
-    /// Disconnects the clients while the gateway is paused, and counts the attempts that begin for them when it goes
-    /// on, after more than [`LATE_AFTER`].
+    /// Disconnects the clients while the gateway is paused, and counts the attempts that begin for them when
+    /// it goes on, after more than [`LATE_AFTER`].
     pub fn late_attempts_after_pause(mut self, paused: PausedGateway) -> usize {
         let ports = self.ports();
         let _half_closed = self.disconnect_all(&ports);
@@ -69,8 +69,8 @@
         half_closed
     }
 
-    /// Counts the attempts that begin once the gateway goes on. What it had begun before the pause reaches the server
-    /// during the pause, so the count does not depend on how long the machine takes for anything.
+    /// Counts the attempts that begin once the gateway goes on. What it had begun before the pause reaches
+    /// the server during the pause, so the count does not depend on how long the machine takes for anything.
     fn attempts_after_resume(&self, paused: PausedGateway, ports: &HashSet<u16>) -> usize {
         wait_until_server_has_seen_all(self.server);
         let before = attempts_seen(self.server, "disconnected");
--- a/tests/client_disconnect/sockets.rs
+++ b/tests/client_disconnect/sockets.rs
@@ -65,8 +65,8 @@
     assert_eq!(gateway.client().get("/healthz", "").status(), 200);
 }
 
-/// Waits until the server has seen all that was sent to it: nothing is unread in its sockets, and nothing new is
-/// seen for a while.
+/// Waits until the server has seen all that was sent to it: nothing is unread in its sockets, and nothing new
+/// is seen for a while.
 pub fn wait_until_server_has_seen_all(server: &Server) {
     let mut last_count = 0;
     let mut last_change = Instant::now();
--- a/tests/client_disconnect/stage_scenario.rs
+++ b/tests/client_disconnect/stage_scenario.rs
@@ -39,7 +39,8 @@
     RequestStage::AwaitingHedge,
 ];
 
-/// How long an attempt holds a tenant's only slot: fifty of them go on for long after [`LATE_AFTER`](crate::paused_gateway::LATE_AFTER).
+/// How long an attempt holds a tenant's only slot: fifty of them go on for long after
+/// [`LATE_AFTER`](crate::paused_gateway::LATE_AFTER).
 const SLOT_TIME: Duration = Duration::from_millis(20);
 
 /// The server's part in a scenario.
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,5 +1,5 @@
-//! The gateway with a fleet of thousands: complete lists, compact and indented, in pieces of a TCP segment. What is
-//! measured is printed; `--nocapture` shows it.
+//! The gateway with a fleet of thousands: complete lists, compact and indented, in pieces of a TCP segment.
+//! What is measured is printed; `--nocapture` shows it.
 
 #[allow(dead_code)] // each file of tests uses its own part
 mod support;
@@ -33,8 +33,8 @@
     Duration::from_nanos(spent)
 }
 
-/// The watch is still the one it was: the whole fleet moves to another server, and the change is in force with no call
-/// more.
+/// The watch is still the one it was: the whole fleet moves to another server, and the change is in force
+/// with no call more.
 fn assert_watch_kept(gateway: &GatewayProcess, discovery: &Discovery, calls: usize, next: &Server) {
     discovery.write(&complete_list(9, next, false));
     eventually("the change", || gateway.client().get_idempotent().status() == 200 && next.count() > 0);
@@ -42,8 +42,8 @@
     assert_eq!(asked.len(), calls, "asked again: {asked:?}");
 }
 
-/// Discovery is silent when the gateway starts, and has no list of before to begin with. When discovery is back, its
-/// list of thousands has to be applied, however it is laid out, and the watch after it kept.
+/// Discovery is silent when the gateway starts, and has no list of before to begin with. When discovery is
+/// back, its list of thousands has to be applied, however it is laid out, and the watch after it kept.
 #[test]
 fn a_complete_list_of_thousands_is_applied_after_a_silent_start() {
     let (server, next) = (Server::ok(), Server::ok());
@@ -69,7 +69,8 @@
     }
 }
 
-/// A gateway that has a watch is sent a complete list of thousands on it. It has to apply the list and keep the watch.
+/// A gateway that has a watch is sent a complete list of thousands on it. It has to apply the list and keep
+/// the watch.
 #[test]
 fn a_complete_list_of_thousands_is_applied_over_a_watch() {
     for indented in [false, true] {
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown under load: each request that was accepted gets its one response, or a close after which the
-//! client may safely retry.
+//! Graceful shutdown under load: each request that was accepted gets its one response, or a close after which
+//! the client may safely retry.
 
 #[allow(dead_code)] // each file of tests uses its own part
 mod support;
@@ -66,8 +66,8 @@
     });
 }
 
-/// All connections of a small gateway have a request in flight, and more wait to be accepted, when the shutdown begins.
-/// Closing the listener would reset those that wait; they must be accepted and served.
+/// All connections of a small gateway have a request in flight, and more wait to be accepted, when the
+/// shutdown begins. Closing the listener would reset those that wait; they must be accepted and served.
 #[test]
 fn connections_waiting_to_be_accepted_when_the_shutdown_begins_are_served() {
     let gate = Gate::default();
@@ -90,8 +90,8 @@
     assert_eq!(gateway.exit_code(), Some(0));
 }
 
-/// An operator repeats SIGTERM and sends SIGHUP, with a broken configuration and a good one, during a shutdown. No
-/// request may be lost by it.
+/// An operator repeats SIGTERM and sends SIGHUP, with a broken configuration and a good one, during a
+/// shutdown. No request may be lost by it.
 #[test]
 fn further_signals_during_the_shutdown_lose_no_request() {
     let gate = Gate::default();
@@ -136,7 +136,8 @@
             let response = client.raw(named_request(&request_name).as_bytes());
             let status = response.as_ref().map(Message::status);
             results.push(RequestResult { path: named_path(&request_name), status });
-            // Goes on after a response that announces the close: a connection may be used while it stays open.
+            // Goes on after a response that announces the close: a connection may be used while it stays
+            // open.
             if response.is_none() {
                 break;
             }
@@ -153,8 +154,8 @@
     seen.iter().map(path).collect()
 }
 
-/// Forty clients send requests on connections that they keep open, while the gateway shuts down and closes them. A
-/// request that gets no response must not have been forwarded: its client may safely retry it.
+/// Forty clients send requests on connections that they keep open, while the gateway shuts down and closes
+/// them. A request that gets no response must not have been forwarded: its client may safely retry it.
 #[test]
 fn requests_on_kept_connections_during_the_shutdown_are_answered_or_were_never_forwarded() {
     let server = Server::ok();
@@ -188,8 +189,8 @@
     }
 }
 
-/// Clients connect shortly after a shutdown has begun, and send their first request a little later. The gateway is
-/// closing idle connections by then, and must not close these.
+/// Clients connect shortly after a shutdown has begun, and send their first request a little later. The
+/// gateway is closing idle connections by then, and must not close these.
 #[test]
 fn a_new_connection_can_send_its_first_request_during_the_shutdown() {
     let gate = Gate::default();
@@ -217,7 +218,8 @@
     assert_eq!(gateway.exit_code(), Some(0));
 }
 
-/// A client stops reading in the middle of its response. The shutdown must neither wait for it nor cut off others.
+/// A client stops reading in the middle of its response. The shutdown must neither wait for it nor cut off
+/// others.
 #[test]
 fn a_response_that_is_not_read_delays_neither_the_shutdown_nor_others() {
     let gate = Gate::default();
@@ -238,8 +240,8 @@
     assert!(rest.is_none_or(|m| m.status() == 200 && m.body.iter().all(|b| *b == b'x')));
 }
 
-/// A client pipelines requests on one connection, and the shutdown begins while the first is in flight. All must be
-/// answered, and only the last response may announce the close: what is behind it would be lost.
+/// A client pipelines requests on one connection, and the shutdown begins while the first is in flight. All
+/// must be answered, and only the last response may announce the close: what is behind it would be lost.
 #[test]
 fn pipelined_requests_are_all_answered_when_the_shutdown_begins() {
     let gate = Gate::default();
@@ -247,8 +249,8 @@
     let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let mut gateway = setup.start();
     let first = named_request("first").replace("once", "long").replace("Left: 1.9", "Left: 20");
-    // Some in one write with the first, and more than one read can take: they wait in the parser's buffer and in the
-    // socket.
+    // Some in one write with the first, and more than one read can take: they wait in the parser's buffer and
+    // in the socket.
     let mut client = gateway.client();
     client.stream.write_all((first + &named_request("a") + &named_request("b")).as_bytes()).expect("sent");
     eventually("the attempt", || server.count() == 1);
@@ -264,9 +266,9 @@
     assert_eq!(gateway.exit_code(), Some(0));
 }
 
-/// A client sends a further request while it receives the response that announces the close. Closing over the unread
-/// request would reset the connection and cut off the response. The response must arrive complete, and the further
-/// request must not be forwarded.
+/// A client sends a further request while it receives the response that announces the close. Closing over the
+/// unread request would reset the connection and cut off the response. The response must arrive complete, and
+/// the further request must not be forwarded.
 #[test]
 fn a_response_arrives_complete_if_the_client_sends_more_after_its_close_was_announced() {
     let gate = Gate::default();
--- a/tests/load_balancing.rs
+++ b/tests/load_balancing.rs
@@ -1,4 +1,5 @@
-//! The selection of a server: the same as by the plain rule over long random traffic, and the work that it takes.
+//! The selection of a server: the same as by the plain rule over long random traffic, and the work that it
+//! takes.
 
 #[path = "load_balancing/deployment.rs"]
 mod deployment;
--- a/tests/load_balancing/random_fleet.rs
+++ b/tests/load_balancing/random_fleet.rs
@@ -1,4 +1,5 @@
-//! A gateway before a fleet that changes, fails and recovers at random, and a digest of all that the gateway did.
+//! A gateway before a fleet that changes, fails and recovers at random, and a digest of all that the gateway
+//! did.
 
 use crate::deployment::{endpoint, endpoints, request, settings, CLASSES, ZONES};
 use crate::simulation::attempt_ended;
@@ -89,7 +90,8 @@
         fleet
     }
 
-    /// Sends requests at a mean interval, ms, with a change of the list for one in `requests_per_change` of them.
+    /// Sends requests at a mean interval, ms, with a change of the list for one in `requests_per_change` of
+    /// them.
     pub fn run(&mut self, requests: u32, mean_interval: Millis, requests_per_change: u64) {
         let mut next_timer = self.now;
         for number in 0..requests {
@@ -171,8 +173,9 @@
         }
     }
 
-    /// One change of the list: a server drains, is removed, returns or restarts, a zone is lost or returns, half of
-    /// the servers are replaced, a complete list leaves some out and names one twice; or an outage begins.
+    /// One change of the list: a server drains, is removed, returns or restarts, a zone is lost or returns,
+    /// half of the servers are replaced, a complete list leaves some out and names one twice; or an outage
+    /// begins.
     fn change_at_random(&mut self) {
         let index = self.rng.below(self.endpoints.len() as u64) as usize;
         let mut update = EndpointUpdate::Incremental;
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -74,7 +74,8 @@
         Case { total: 33.0, passes: true },
         Case { total: 38.0, passes: false },
     ];
-    // Keys last 30 s and are staggered: tenant 0 has one that began at 0 s, and by 6 s 24 units were refilled.
+    // Keys last 30 s and are staggered: tenant 0 has one that began at 0 s, and by 6 s 24 units were
+    // refilled.
     for Case { total, passes } in cases {
         let mut rig = Rig::new(large_fleet_settings(4.0, 10.0), 4);
         let actions = rig.request_like(6000.0, low_traffic_request(0)).actions;
@@ -88,8 +89,8 @@
     }
 }
 
-/// The latency objective is 500 ms. A simulated call ends at its time-out, and with it the wait; a real one is
-/// answered. Either way a request may not wait longer than a quarter of the objective.
+/// The latency objective is 500 ms. A simulated call ends at its time-out, and with it the wait; a real one
+/// is answered. Either way a request may not wait longer than a quarter of the objective.
 #[test]
 fn a_reservation_is_waited_for_up_to_a_quarter_of_the_latency_objective() {
     for timeout in [30.0, 100.0, 5000.0] {
@@ -128,8 +129,8 @@
     }
 }
 
-/// One request each of new tenants, 10 ms apart with the timer; calls are answered after 5 ms with the outcome of
-/// their number. Returns how many calls were made.
+/// One request each of new tenants, 10 ms apart with the timer; calls are answered after 5 ms with the
+/// outcome of their number. Returns how many calls were made.
 fn send_new_tenants(rig: &mut Rig, from: Millis, tenants: usize, outcome: fn(usize) -> Outcome) -> usize {
     let mut calls = 0;
     for step in 0..tenants {
@@ -184,7 +185,8 @@
     assert!(kept <= 3200, "{kept} tenants are remembered");
 }
 
-/// Answers the counter calls among `actions`, and those that follow from the answers, until there are no more.
+/// Answers the counter calls among `actions`, and those that follow from the answers, until there are no
+/// more.
 fn answer_calls(counter: &mut CounterStub, gateway: &mut Gateway, now: Millis, actions: &mut Vec<Action>) {
     let mut next = 0;
     while next < actions.len() {
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -44,8 +44,8 @@
     assert!(to_starting <= 8, "{to_starting} of 60 in the first second");
 }
 
-/// Found on an incident: responses were slow for another reason than the gateway's own traffic, and its concurrency
-/// limit fell until it sent next to nothing.
+/// Found on an incident: responses were slow for another reason than the gateway's own traffic, and its
+/// concurrency limit fell until it sent next to nothing.
 #[test]
 fn a_gateway_with_slow_servers_keeps_two_attempts_in_flight_for_each() {
     let mut rig = Rig::new(Settings { gateway_count: 1.0, ..settings() }, 6);
@@ -97,7 +97,8 @@
     }
 }
 
-/// Found on a day with an outlier: each gateway met it every few seconds only, and took long to see three failures.
+/// Found on a day with an outlier: each gateway met it every few seconds only, and took long to see three
+/// failures.
 #[test]
 fn a_hundred_gateways_send_a_failing_server_at_most_one_request_each() {
     let mut failed = 0;
--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -36,7 +36,8 @@
 #[test]
 fn between_the_quota_and_the_hard_limit_rejections_follow_the_factor() {
     const SEEDS: u64 = 400;
-    // 10 units of quota, 10.2 observed: the factor is 1 - 5 / 10.2 over the last second. The hard limit is 10.5.
+    // 10 units of quota, 10.2 observed: the factor is 1 - 5 / 10.2 over the last second. The hard limit is
+    // 10.5.
     let forwarded = (0..SEEDS).filter(|seed| last_of_four_is_forwarded(*seed)).count();
     let share = forwarded as f64 / SEEDS as f64;
     assert!((0.40..0.58).contains(&share), "forwarded {share}");
@@ -82,8 +83,8 @@
     assert!(after.0.iter().any(|action| matches!(action, Action::Forward { id, .. } if *id == third.id)));
 }
 
-/// The counter answers nothing, and three gateways start without memory. A hard ceiling holds all the same, because
-/// each gateway has its own part of it.
+/// The counter answers nothing, and three gateways start without memory. A hard ceiling holds all the same,
+/// because each gateway has its own part of it.
 #[test]
 fn a_ceiling_holds_without_a_counter_and_through_a_restart() {
     let mut settings = settings();
@@ -102,8 +103,8 @@
     assert!(forwarded <= 20 + 10 + 2, "{forwarded} units in a second by three gateways");
 }
 
-/// A gateway's part of the ceiling is two tokens, and another takes 5 s. A request beyond it cannot be served in
-/// time: queueing it until its deadline would help nobody.
+/// A gateway's part of the ceiling is two tokens, and another takes 5 s. A request beyond it cannot be served
+/// in time: queueing it until its deadline would help nobody.
 #[test]
 fn a_request_beyond_the_gateways_part_of_a_ceiling_is_rejected_at_once_with_a_retry_after() {
     for gateways in [3.0, 300.0] {
@@ -146,8 +147,8 @@
     }
 }
 
-/// Found on a day with a hundred gateways: most met a tenant for the first time with an empty part of its ceiling,
-/// and rejected it.
+/// Found on a day with a hundred gateways: most met a tenant for the first time with an empty part of its
+/// ceiling, and rejected it.
 #[test]
 fn a_gateways_part_of_a_ceiling_is_full_when_its_tenant_first_comes() {
     let plan = Plan {
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -59,8 +59,8 @@
     assert!(rejected);
 }
 
-/// Found on a bench drill: a client's retry with a few ms left was queued and never answered, because it ran out
-/// before the next timer.
+/// Found on a bench drill: a client's retry with a few ms left was queued and never answered, because it ran
+/// out before the next timer.
 #[test]
 fn a_request_that_runs_out_before_the_next_timer_is_rejected_at_once() {
     let mut rig = Rig::new(settings(), 0);
--- a/tests/quota_accuracy.rs
+++ b/tests/quota_accuracy.rs
@@ -1,6 +1,7 @@
-//! What a fleet forwards beyond its tenants' quotas: many gateways on one simulated counter that is slow, serves
-//! fewer calls than there are requests and is silent for a while, beside a policy that sees the true level of all
-//! quotas half a second late. Simulated time and fixed seeds: the figures are the same in each run.
+//! What a fleet forwards beyond its tenants' quotas: many gateways on one simulated counter that is slow,
+//! serves fewer calls than there are requests and is silent for a while, beside a policy that sees the true
+//! level of all quotas half a second late. Simulated time and fixed seeds: the figures are the same in each
+//! run.
 
 #[path = "quota_accuracy/fleet.rs"]
 mod fleet;
@@ -47,7 +48,8 @@
     PricedPlan { plan, overage_value: 0.0, overage_penalty }
 }
 
-/// A hundred gateways and three plans of small, medium and large quotas; the counter serves half of the requests.
+/// A hundred gateways and three plans of small, medium and large quotas; the counter serves half of the
+/// requests.
 fn usual_world(seed: u64) -> World {
     World {
         gateways: 100,
@@ -143,8 +145,8 @@
     assert_accuracy("generous", profitable, AccuracyBounds { max_extra_cost: 0.2, min_within_quota: 0.97 });
 }
 
-/// Not met: here the cost is more than a tenth above the delayed policy's. The bounds hold what was reached, so
-/// that it gets no worse unseen.
+/// Not met: here the cost is more than a tenth above the delayed policy's. The bounds hold what was reached,
+/// so that it gets no worse unseen.
 #[test]
 fn with_a_slow_or_silent_counter_the_overage_cost_stays_where_it_was_measured() {
     let slow = |seed| World { counter_latency: 80.0, counter_calls_per_second: 300.0, ..usual_world(seed) };
@@ -182,8 +184,8 @@
     assert!(lost <= bounds.max_lost, "{name}: {lost:.3} of the calls were lost");
 }
 
-/// Three times the traffic comes for six seconds. The gateways call the counter less while it rejects calls; once
-/// the surge has gone they have to find out within three seconds that it has capacity again.
+/// Three times the traffic comes for six seconds. The gateways call the counter less while it rejects calls;
+/// once the surge has gone they have to find out within three seconds that it has capacity again.
 #[test]
 fn three_seconds_after_a_surge_has_gone_the_counter_is_used_again() {
     for (capacity, seed) in [(0.6, 1), (0.6, 2), (1.0 / 3.0, 1), (1.0 / 3.0, 2)] {
@@ -193,8 +195,8 @@
     }
 }
 
-/// Seven in ten gateways restart at once and know nothing of the counter's capacity. After three seconds few of
-/// the calls may be rejected or time out.
+/// Seven in ten gateways restart at once and know nothing of the counter's capacity. After three seconds few
+/// of the calls may be rejected or time out.
 #[test]
 fn three_seconds_after_most_gateways_restart_few_calls_are_lost() {
     for gateways in [300, 530] {
@@ -204,8 +206,8 @@
     }
 }
 
-/// Not met: with few calls for each gateway it takes long to find out how few, and a partition that executes one
-/// call in some ten ms rejects calls that come together. The bounds hold what was reached.
+/// Not met: with few calls for each gateway it takes long to find out how few, and a partition that executes
+/// one call in some ten ms rejects calls that come together. The bounds hold what was reached.
 #[test]
 fn with_a_counter_for_a_tenth_or_a_hundredth_the_lost_calls_stay_where_they_were_measured() {
     for (capacity, max_lost) in [(0.1, 0.15), (0.01, 0.65)] {
--- a/tests/quota_accuracy/ledger.rs
+++ b/tests/quota_accuracy/ledger.rs
@@ -149,8 +149,8 @@
     }
 }
 
-/// A policy that sees every quota as it was a moment ago, and forwards what the quota held then, or what earns more
-/// beyond a quota than it costs.
+/// A policy that sees every quota as it was a moment ago, and forwards what the quota held then, or what
+/// earns more beyond a quota than it costs.
 pub fn delayed_policy<'a>(world: &'a World, arrivals: &[Arrival]) -> Ledger<'a> {
     let mut ledger = Ledger::new(world);
     let mut views = vec![DelayedView::default(); ledger.buckets.len()];
@@ -165,9 +165,9 @@
     ledger
 }
 
-/// The bound from information: a gateway that sees a tenant too rarely to remember it learns by a call whether the
-/// quota holds one request, and forwards what has no call. Here each call gives the true level at once and costs no
-/// second one, for as many requests as the counter can serve.
+/// The bound from information: a gateway that sees a tenant too rarely to remember it learns by a call
+/// whether the quota holds one request, and forwards what has no call. Here each call gives the true level at
+/// once and costs no second one, for as many requests as the counter can serve.
 pub fn call_bound_policy<'a>(world: &'a World, arrivals: &[Arrival]) -> Ledger<'a> {
     let mut ledger = Ledger::new(world);
     let mut rng = SeededRng::new(!world.seed);
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -1,5 +1,6 @@
-//! What the gateway holds returns to its level: descriptors, connections to the counter and correlation ids in flight,
-//! after bursts of clients that disconnect, of clients that send nonsense, and of responses that cannot be used.
+//! What the gateway holds returns to its level: descriptors, connections to the counter and correlation ids
+//! in flight, after bursts of clients that disconnect, of clients that send nonsense, and of responses that
+//! cannot be used.
 
 #[allow(dead_code)] // each file of tests uses its own part
 mod support;
@@ -27,8 +28,8 @@
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
 }
 
-/// Sixty clients connect at once to a gateway that may hold eight. None of them may be lost, and the descriptors may not
-/// go beyond the bound meanwhile.
+/// Sixty clients connect at once to a gateway that may hold eight. None of them may be lost, and the
+/// descriptors may not go beyond the bound meanwhile.
 #[test]
 fn a_burst_of_connections_stays_within_the_bound_and_each_is_served_in_its_turn() {
     let gate = Gate::default();
@@ -68,8 +69,8 @@
 /// Connections to the counter.
 const COUNTER_CONNECTIONS: usize = 4;
 
-/// For four rounds clients disconnect, reset and send nonsense, and servers answer with what is no response. After each
-/// round the descriptors have to come back to their level, and after the last one the memory.
+/// For four rounds clients disconnect, reset and send nonsense, and servers answer with what is no response.
+/// After each round the descriptors have to come back to their level, and after the last one the memory.
 #[test]
 fn disconnected_and_invalid_clients_and_unusable_responses_leave_nothing_behind() {
     let server = server_with_unusable_responses();
@@ -146,8 +147,8 @@
 /// A new list is in force so soon after discovery is back.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(6);
 
-/// A gateway with the smallest limit whose discovery is down, and the peers of a new configuration, whose discovery is
-/// silent.
+/// A gateway with the smallest limit whose discovery is down, and the peers of a new configuration, whose
+/// discovery is silent.
 struct LimiterAtLimit {
     gateway: GatewayProcess,
     /// The new configuration.
@@ -180,8 +181,8 @@
         LimiterAtLimit { gateway, setup, new_discovery, new_counter, _old_peers: (discovery, counter) }
     }
 
-    /// Reloads the configuration, lets discovery answer, and waits until its list is in force: all that is no client's
-    /// gets its descriptors.
+    /// Reloads the configuration, lets discovery answer, and waits until its list is in force: all that is no
+    /// client's gets its descriptors.
     fn move_to_new_peers(&self) {
         let LimiterAtLimit { gateway, setup, new_discovery, new_counter, .. } = self;
         gateway.reload(&setup.config());
@@ -203,8 +204,8 @@
     counter.connections.load(Ordering::SeqCst) >= COUNTER_CONNECTIONS
 }
 
-/// Far more idle clients than descriptors are connected and keep connecting. Discovery, the counter, servers and a
-/// client with a request still have to get their descriptors.
+/// Far more idle clients than descriptors are connected and keep connecting. Discovery, the counter, servers
+/// and a client with a request still have to get their descriptors.
 #[test]
 fn idle_clients_that_fill_the_descriptors_take_none_from_peers_or_requests() {
     let (server, new_server) = (Server::ok(), Server::ok());
@@ -244,8 +245,8 @@
     drop((idle, connecting.join().expect("the connecting clients")));
 }
 
-/// All client connections that the gateway accepts have a request in flight. Discovery and the counter still have to get
-/// their descriptors.
+/// All client connections that the gateway accepts have a request in flight. Discovery and the counter still
+/// have to get their descriptors.
 #[test]
 fn requests_in_flight_on_all_client_connections_take_no_descriptor_from_peers() {
     let gate = Gate::default();
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// Discovery is down when the gateways start: calls to it are never answered. Each has a cached list, and has to serve
-/// with that.
+/// Discovery is down when the gateways start: calls to it are never answered. Each has a cached list, and has
+/// to serve with that.
 #[test]
 fn limiters_with_a_cached_list_are_ready_soon_while_discovery_is_silent() {
     let cached = list(1, true, &members(5700));
@@ -101,8 +101,8 @@
     assert_ready_soon("discovery silent, an old list", setup);
 }
 
-/// A gateway shuts down and closes its connections first, so that its side keeps them in TIME_WAIT. The next process
-/// has to listen on the same port all the same.
+/// A gateway shuts down and closes its connections first, so that its side keeps them in TIME_WAIT. The next
+/// process has to listen on the same port all the same.
 #[test]
 fn a_restarted_limiter_listens_on_its_port_while_connections_are_in_time_wait() {
     let server = Server::ok();
--- a/tests/settings_values.rs
+++ b/tests/settings_values.rs
@@ -1,9 +1,10 @@
 //! What either reader of the settings makes of a wide set of values, good and malformed.
 //!
 //! The readers take in files of deployments that nobody here has seen. A rewrite of them that read one number
-//! otherwise, or refused what it had taken in, would show only there. So each result is recorded, a line each in
-//! `recorded/settings_values.txt`, by the place of the value and what it led to. A run writes its own results to the target directory; a line that has changed on
-//! purpose is copied from there, in the commit that changes it.
+//! otherwise, or refused what it had taken in, would show only there. So each result is recorded, a line each
+//! in `recorded/settings_values.txt`, by the place of the value and what it led to. A run writes its own
+//! results to the target directory; a line that has changed on purpose is copied from there, in the commit
+//! that changes it.
 
 use rate_limiting_gateway::config::{parse_settings, Config, ConfigError};
 use rate_limiting_gateway::settings::{Class, Plan, Settings};
@@ -413,7 +414,8 @@
     assert_eq!(record.lines.len(), RECORDED.lines().count(), "results and recorded ones");
 }
 
-/// The file and the simulator's text name the same settings, so that what one reader learns the other does not miss.
+/// The file and the simulator's text name the same settings, so that what one reader learns the other does
+/// not miss.
 #[test]
 fn both_readers_give_the_same_settings() {
     let config = Config::parse(&base_file().to_string()).expect("the base is read");
--- a/tests/settings_variety.rs
+++ b/tests/settings_variety.rs
@@ -1,5 +1,5 @@
-//! The gateway with settings unlike those of any deployment it has been run for, extreme but legal values among them:
-//! what it does has to come from the settings alone.
+//! The gateway with settings unlike those of any deployment it has been run for, extreme but legal values
+//! among them: what it does has to come from the settings alone.
 
 #[allow(dead_code)] // each file of tests uses its own part
 mod support;
@@ -125,8 +125,9 @@
     }
 }
 
-/// A server dies with a non-idempotent request, beside a draining one, in a deployment whose class and server names are
-/// not those of the others. The request must fail rather than run twice, and the draining server gets nothing.
+/// A server dies with a non-idempotent request, beside a draining one, in a deployment whose class and server
+/// names are not those of the others. The request must fail rather than run twice, and the draining server
+/// gets nothing.
 #[test]
 fn a_drain_is_heeded_and_a_non_idempotent_class_is_not_retried_under_other_names_too() {
     let dies = Server::start(|_| StubResponse::Close(Vec::new()));
@@ -159,8 +160,8 @@
     assert_eq!(dies.count(), 1);
 }
 
-/// A deployment hands over a file that cannot be used. The process has to end and say why: one that stayed up would look
-/// healthy and serve nobody.
+/// A deployment hands over a file that cannot be used. The process has to end and say why: one that stayed up
+/// would look healthy and serve nobody.
 #[test]
 fn a_configuration_that_cannot_be_used_ends_the_process_with_a_message() {
     let path = std::env::temp_dir().join(format!("rate-limiting-gateway-bad-{}.json", std::process::id()));
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -76,8 +76,8 @@
     assert!(output.windows(6).any(|bytes| bytes == FORWARD_OF_INSTANCE_3));
 }
 
-/// The simulator, or a pipe that broke, hands over half a frame or a wild length. The adapter ends with an error that
-/// says which, and writes no reply to what it has not understood.
+/// The simulator, or a pipe that broke, hands over half a frame or a wild length. The adapter ends with an
+/// error that says which, and writes no reply to what it has not understood.
 #[test]
 fn malformed_frames_are_errors_and_get_no_reply() {
     assert_fails(&[16, 0], "cut short");
@@ -115,8 +115,8 @@
     assert!(parse_settings(SETTINGS).is_ok());
 }
 
-/// The simulator spreads instances over processes as it likes. If one instance's replies depended on another in its
-/// process, a run could not be repeated.
+/// The simulator spreads instances over processes as it likes. If one instance's replies depended on another
+/// in its process, a run could not be repeated.
 #[test]
 fn instances_reply_alike_in_one_process_and_in_several() {
     // Each instance alone gives the bytes it gives beside another.
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! What a whole fleet sends to servers that have just started: many gateways and servers on one simulated clock, some
-//! of the servers starting together. A starting server is overloaded when it gets more than N + 2 √N + 2 requests of
-//! mean work within the settings' window, N being what they allow it then. Fixed seeds: the figures are the same in
-//! each run.
+//! What a whole fleet sends to servers that have just started: many gateways and servers on one simulated
+//! clock, some of the servers starting together. A starting server is overloaded when it gets more than N + 2
+//! √N + 2 requests of mean work within the settings' window, N being what they allow it then. Fixed seeds:
+//! the figures are the same in each run.
 //!
 //! Environment: `COLD_SEEDS` sets the number of seeds; with `COLD_LOOK` figures are printed and not checked.
 
@@ -85,9 +85,9 @@
     }
 }
 
-/// Simulates a world in each fleet, with a third of the servers starting; these are to get that share of what they
-/// could do. The shares are far from what is wanted: the bounds hold what was measured, so that it gets no worse
-/// unseen.
+/// Simulates a world in each fleet, with a third of the servers starting; these are to get that share of what
+/// they could do. The shares are far from what is wanted: the bounds hold what was measured, so that it gets
+/// no worse unseen.
 fn assert_in_each_fleet(name: &str, min_share: f64, world: impl Fn(World) -> World) {
     for FleetSize { gateways, servers } in FLEETS {
         let base = World::new(gateways, servers, servers / 3);
@@ -131,8 +131,8 @@
     });
 }
 
-/// While some servers are starting the connections to all others are lost. What was meant for these must not fall on
-/// the ones that start.
+/// While some servers are starting the connections to all others are lost. What was meant for these must not
+/// fall on the ones that start.
 #[test]
 fn starting_servers_are_not_overloaded_when_the_warm_ones_are_lost() {
     assert_in_each_fleet("a cut", 0.28, |world| World { warm_servers_lost_after: Some(2500.0), ..world });
--- a/tests/slow_start/outcome.rs
+++ b/tests/slow_start/outcome.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// The requests that overload a server within the window before `at`: N + 2 √N + 2, N being what the settings allow it.
-/// Before its start it counts with the capacity that it has at its start.
+/// The requests that overload a server within the window before `at`: N + 2 √N + 2, N being what the settings
+/// allow it. Before its start it counts with the capacity that it has at its start.
 fn overload_limit(world: &World, at: Millis, capacity: CapacityAt) -> f64 {
     let window = world.overload_window;
     let from = (at - window).max(START);
--- a/tests/slow_start/server.rs
+++ b/tests/slow_start/server.rs
@@ -42,8 +42,8 @@
         self.completions.clear();
     }
 
-    /// Takes a request whose work is a multiple of the mean, at a speed of 1 for a warm server of size 1. Returns when
-    /// it will be done; none if the queue is full.
+    /// Takes a request whose work is a multiple of the mean, at a speed of 1 for a warm server of size 1.
+    /// Returns when it will be done; none if the queue is full.
     pub fn enqueue(&mut self, now: Millis, work: f64, speed: f64) -> Option<Millis> {
         while self.completions.front().is_some_and(|done| *done <= now) {
             self.completions.pop_front();
--- a/tests/support/action_world.rs
+++ b/tests/support/action_world.rs
@@ -1,5 +1,6 @@
-//! A small closed world around a few gateways on the simulator's wire: servers that answer, fail or fall silent, a
-//! list that changes, a counter, and clients. Everything follows from the seed and from what the gateways do.
+//! A small closed world around a few gateways on the simulator's wire: servers that answer, fail or fall
+//! silent, a list that changes, a counter, and clients. Everything follows from the seed and from what the
+//! gateways do.
 
 use super::frames::{event_code, frame, record};
 use rand_core::{RngCore, SeedableRng};
@@ -56,8 +57,8 @@
     pub counter_delay: f64,
     /// Share of the calls that are rejected.
     pub counter_rejects: f64,
-    /// Tenants change every 20 s, so that they fall idle and return; all counter calls of 5 s are rejected; a server
-    /// that breaks stays so for 30 s; connections are reset after about 300 ms.
+    /// Tenants change every 20 s, so that they fall idle and return; all counter calls of 5 s are rejected; a
+    /// server that breaks stays so for 30 s; connections are reset after about 300 ms.
     pub long_faults: bool,
 }
 
@@ -359,8 +360,8 @@
         self.send_event(gateway, ended, &[]);
     }
 
-    /// Some servers drain, go, break or come back cold. All gateways are notified, by an incremental or a complete
-    /// list.
+    /// Some servers drain, go, break or come back cold. All gateways are notified, by an incremental or a
+    /// complete list.
     fn change_endpoints(&mut self) {
         self.schedule(1500.0, Scheduled::EndpointsChange);
         if !self.scenario.server_faults {
--- a/tests/support/frames.rs
+++ b/tests/support/frames.rs
@@ -1,4 +1,5 @@
-//! Frames of the simulator's wire: builds event frames and reads reply frames, byte by byte as the protocol's page lays them out.
+//! Frames of the simulator's wire: builds event frames and reads reply frames, byte by byte as the protocol's
+//! page lays them out.
 
 /// Codes of event records.
 pub mod event_code {
--- a/tests/support/gateway_process.rs
+++ b/tests/support/gateway_process.rs
@@ -26,8 +26,8 @@
 }
 
 impl GatewayProcess {
-    /// Starts a gateway with a configuration and waits until it listens. The shell limits its descriptors, if they
-    /// are to be limited.
+    /// Starts a gateway with a configuration and waits until it listens. The shell limits its descriptors, if
+    /// they are to be limited.
     pub(super) fn launch(config: &str, descriptors: Option<usize>, gateways: usize) -> GatewayProcess {
         let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let name = format!("rate-limiting-gateway-{}-{number}.json", std::process::id());
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,8 @@
-//! Stub servers, discovery and counter on loopback sockets, clients, and the real gateway started against them.
+//! Stub servers, discovery and counter on loopback sockets, clients, and the real gateway started against
+//! them.
 //!
-//! The stubs panic where a test can't go on. Those of the capacity program return errors and do less, so that they cost
-//! little beside the gateway; the two have nothing but the wire in common.
+//! The stubs panic where a test can't go on. Those of the capacity program return errors and do less, so that
+//! they cost little beside the gateway; the two have nothing but the wire in common.
 
 mod client;
 mod counter;
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -140,8 +140,8 @@
     eventually("the close is in the peer's socket", || !close_is_under_way(stream));
 }
 
-/// Whether the peer's side has not taken in the close yet: a busy machine delivers it some time after the call that
-/// ends the stream has returned. The kernel shows it by the state of this end.
+/// Whether the peer's side has not taken in the close yet: a busy machine delivers it some time after the
+/// call that ends the stream has returned. The kernel shows it by the state of this end.
 fn close_is_under_way(stream: &TcpStream) -> bool {
     const FIN_WAIT1: &str = "04";
     let (Ok(local), Ok(peer)) = (stream.local_addr(), stream.peer_addr()) else { return false };
--- a/tests/support/simulation.rs
+++ b/tests/support/simulation.rs
@@ -1,5 +1,6 @@
-//! Parts of a discrete-event simulation: a seeded random generator, an event queue, a counter service with limited
-//! capacity, and the events that simulations feed to a gateway. Tests and the capacity program include it by path.
+//! Parts of a discrete-event simulation: a seeded random generator, an event queue, a counter service with
+//! limited capacity, and the events that simulations feed to a gateway. Tests and the capacity program
+//! include it by path.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -88,7 +89,8 @@
     pub total: f64,
 }
 
-/// A counter service whose partitions each execute one call at a time, and reject calls when the queue is too long.
+/// A counter service whose partitions each execute one call at a time, and reject calls when the queue is too
+/// long.
 pub struct CounterStub {
     totals: HashMap<CounterKey, f64>,
     /// When each partition has finished the calls it has accepted, ms.
--- a/tests/unit/client.rs
+++ b/tests/unit/client.rs
@@ -71,9 +71,9 @@
     connections(client_listener).values().for_each(|connection| connection.enter(connection.phase(), at));
 }
 
-/// A client sends something that is not HTTP and much behind it, and the gateway answers 400. Closing at once would
-/// reset the connection over the unread bytes and the client would lose the response. So the close waits, but for a
-/// bounded time, and for less of it if a new connection needs the place.
+/// A client sends something that is not HTTP and much behind it, and the gateway answers 400. Closing at once
+/// would reset the connection over the unread bytes and the client would lose the response. So the close
+/// waits, but for a bounded time, and for less of it if a new connection needs the place.
 #[test]
 fn a_close_waits_for_its_client_within_bounds_and_less_if_a_new_connection_needs_the_place() {
     with_listener(1, |client_listener| async move {
@@ -111,8 +111,8 @@
     });
 }
 
-/// During a shutdown the gateway asks an idle connection to close just when the next request arrives on it. The
-/// request must be answered, also if only a part of it has arrived; the connection closes after it.
+/// During a shutdown the gateway asks an idle connection to close just when the next request arrives on it.
+/// The request must be answered, also if only a part of it has arrived; the connection closes after it.
 #[test]
 fn a_request_that_arrives_after_its_connection_was_asked_to_close_is_answered() {
     with_listener(8, |client_listener| async move {
@@ -121,8 +121,8 @@
             client.write_all(HEALTH_CHECK).expect("sent");
             assert!(read_status_line(&client).await.starts_with("HTTP/1.1 503"), "it knows no servers");
             assert_eq!(client_listener.connection_count(), 1);
-            // No await before the next request is sent: the close has been decided, and the runtime has not heard
-            // of the bytes.
+            // No await before the next request is sent: the close has been decided, and the runtime has not
+            // heard of the bytes.
             client_listener.close_idle();
         }
         let (first_part, rest) = HEALTH_CHECK.split_at(15);
--- a/tests/unit/discovery_timing.rs
+++ b/tests/unit/discovery_timing.rs
@@ -3,8 +3,8 @@
 use super::{CallTiming, INITIAL_BACKOFF};
 use std::time::Duration;
 
-/// The agent is silent, comes back, and holds a drain. A call that was out to it when it came back has to time out,
-/// and the next one to be sent, before the drain grace ends.
+/// The agent is silent, comes back, and holds a drain. A call that was out to it when it came back has to
+/// time out, and the next one to be sent, before the drain grace ends.
 #[test]
 fn an_agent_that_is_back_is_called_again_within_the_grace_whatever_the_settings() {
     for grace in [0, 120, 500, 1000, 2500, 20_000].map(Duration::from_millis) {
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -2,8 +2,8 @@
 
 use super::EndpointList;
 
-/// One entry of a list is not of the agreed form. The gateway must not lose sight of the whole fleet for it: the
-/// others are decoded, and the bad one is reported in its place.
+/// One entry of a list is not of the agreed form. The gateway must not lose sight of the whole fleet for it:
+/// the others are decoded, and the bad one is reported in its place.
 #[test]
 fn a_malformed_entry_does_not_hide_the_others() {
     let text = r#"{"revision":4,"members":[{"id":7},{"id":"s-1","phase":"Ready"}]}"#;
--- a/tests/unit/endpoint_watcher.rs
+++ b/tests/unit/endpoint_watcher.rs
@@ -1,8 +1,8 @@
 //! Every state of the watcher, in paused time: how long it takes until what the agent holds is acted on.
 //!
-//! The story of them all: a server is about to leave, discovery marks it as draining, and the agent is in trouble at
-//! that moment. Once the agent holds the change and can be reached, the gateway has to act on it in time, whatever
-//! the watcher was waiting for when the trouble began.
+//! The story of them all: a server is about to leave, discovery marks it as draining, and the agent is in
+//! trouble at that moment. Once the agent holds the change and can be reached, the gateway has to act on it
+//! in time, whatever the watcher was waiting for when the trouble began.
 
 use super::super::json_framer::max_object_bytes;
 use super::super::timing::{CallTiming, OBJECT_TIMEOUT, WATCH_IDLE_TIMEOUT};
@@ -18,7 +18,8 @@
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::time::{sleep, Instant};
 
-/// A change counts as notified this long after discovery had it and could be reached, and this long after SIGHUP.
+/// A change counts as notified this long after discovery had it and could be reached, and this long after
+/// SIGHUP.
 const NOTIFIED: Duration = Duration::from_secs(6);
 const NOTIFIED_AFTER_HANGUP: Duration = Duration::from_secs(4);
 /// Between two bytes of an agent that trickles, two pieces of one that is slow, two looks of a watch.
@@ -331,8 +332,8 @@
     }
 }
 
-/// The agent is silent, and a call is out to it at the moment it comes back. That call is lost; the next one has to bring
-/// the drain before new requests to the server are forbidden.
+/// The agent is silent, and a call is out to it at the moment it comes back. That call is lost; the next one
+/// has to bring the drain before new requests to the server are forbidden.
 #[test]
 fn a_call_that_was_out_when_a_silent_agent_came_back_costs_less_than_the_grace() {
     for stage in STAGES {
@@ -351,8 +352,8 @@
     }
 }
 
-/// Operators move the gateway to another agent by SIGHUP while the watcher is in any state. A drain that the new agent
-/// holds must not wait for what the watcher was doing with the old one.
+/// Operators move the gateway to another agent by SIGHUP while the watcher is in any state. A drain that the
+/// new agent holds must not wait for what the watcher was doing with the old one.
 #[test]
 fn a_new_agent_is_heard_in_time_after_sighup_in_every_state() {
     for back in [AgentMode::Healthy, AgentMode::Slow] {
@@ -395,8 +396,8 @@
     }
 }
 
-/// The agent answers calls for a watch and sends nothing on them, or refuses them, while its complete list would have the
-/// drain. The watcher has to ask for that list, and not so often that lists become a load.
+/// The agent answers calls for a watch and sends nothing on them, or refuses them, while its complete list
+/// would have the drain. The watcher has to ask for that list, and not so often that lists become a load.
 #[test]
 fn what_no_watch_sends_comes_by_a_complete_list() {
     // Its calls for a watch go on failing; only its list has the change.
@@ -445,7 +446,8 @@
     });
 }
 
-/// The agent is down for a minute. The watcher must not call it in a spin, nor back off so far that its return is missed.
+/// The agent is down for a minute. The watcher must not call it in a spin, nor back off so far that its
+/// return is missed.
 #[test]
 fn an_agent_that_stays_faulty_is_neither_called_without_a_backoff_nor_forgotten_with_a_long_grace() {
     for grace in [1000, 20_000].map(Duration::from_millis) {
--- a/tests/unit/json_framer.rs
+++ b/tests/unit/json_framer.rs
@@ -64,8 +64,9 @@
     assert_eq!((revisions, valid, framer.in_object()), (vec![1], true, false));
 }
 
-/// The agent, or something in its place, sends what is no endpoint list. The watcher has to be told, and as soon as
-/// the first wrong byte has come: a stream without an end of the object would otherwise look like a slow one.
+/// The agent, or something in its place, sends what is no endpoint list. The watcher has to be told, and as
+/// soon as the first wrong byte has come: a stream without an end of the object would otherwise look like a
+/// slow one.
 #[test]
 fn what_is_no_list_is_an_error() {
     for bad in [
@@ -114,8 +115,9 @@
     members: Vec<&'a RawValue>,
 }
 
-/// A complete list of thousands of endpoints comes in a thousand pieces. If the framer scanned from the start of the
-/// object at each piece, the work would grow with the square of the list, and the gateway would stand still.
+/// A complete list of thousands of endpoints comes in a thousand pieces. If the framer scanned from the start
+/// of the object at each piece, the work would grow with the square of the list, and the gateway would stand
+/// still.
 #[test]
 fn each_byte_is_looked_at_as_often_however_long_the_list_and_small_the_pieces() {
     for (endpoints, piece_bytes) in
