--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -268,7 +268,9 @@
     /// The client has disconnected; its request needs no answer any more.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
-        if responder.is_some() {
+        if let Some(responder) = responder {
+            // Before the policy hears of it: the client's task is woken first, and closes its connection.
+            drop(responder);
             self.withdraw(id);
         }
     }
