--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -6,10 +6,10 @@
 
 use super::counter_health::is_congested;
 use super::counter_key::{counter_key, span_at};
+use super::counter_sync::{CounterSync, RemoteUnits};
 use super::disposition::Disposition;
 use super::quota::{Quota, HARD_LIMIT_FACTOR};
 use super::sliding_window::SlidingWindow;
-use super::tally::{RemoteUnits, Tally};
 use crate::ids::{CounterKey, Millis, TenantId};
 
 /// Width of a bucket of the window, ms: small beside a window of seconds, so that it ages in small steps.
@@ -64,8 +64,8 @@
 pub(super) struct BatchedUsage {
     quota: Quota,
     window: SlidingWindow,
-    forwarded: Tally,
-    not_forwarded: Tally,
+    forwarded: CounterSync,
+    not_forwarded: CounterSync,
     last_sync: Millis,
     suppression: Option<Suppression>,
     /// Units missing from the tenant's full token bucket.
@@ -82,8 +82,8 @@
         BatchedUsage {
             quota,
             window: SlidingWindow::new(BUCKET_WIDTH),
-            forwarded: Tally::new(span),
-            not_forwarded: Tally::new(span),
+            forwarded: CounterSync::new(span),
+            not_forwarded: CounterSync::new(span),
             last_sync: now,
             suppression: None,
             bucket_deficit: 0.0,
@@ -92,7 +92,7 @@
         }
     }
 
-    fn tally(&mut self, disposition: Disposition) -> &mut Tally {
+    fn counter_sync(&mut self, disposition: Disposition) -> &mut CounterSync {
         match disposition {
             Disposition::Forwarded => &mut self.forwarded,
             Disposition::NotForwarded => &mut self.not_forwarded,
@@ -127,7 +127,7 @@
             self.window.note_forwarded_here(now, units);
             self.assumed_remote_units += fleet_units - units;
         }
-        self.tally(disposition).add_unsent(units);
+        self.counter_sync(disposition).add_unsent(units);
     }
 
     fn add(&mut self, disposition: Disposition, at: Millis, units: f64) {
@@ -242,19 +242,19 @@
     ) -> Vec<DueCall> {
         let mut calls = Vec::new();
         let span = span_at(now);
-        let tally = self.tally(disposition);
-        if tally.is_awaiting_reply() {
+        let counter_sync = self.counter_sync(disposition);
+        if counter_sync.is_awaiting_reply() {
             return calls;
         }
-        if tally.span() != span {
-            let old_key = counter_key(tenant, disposition, tally.span());
-            if read_closing_key && !tally.has_closing_read() {
-                tally.begin_closing_read(old_key);
+        if counter_sync.span() != span {
+            let old_key = counter_key(tenant, disposition, counter_sync.span());
+            if read_closing_key && !counter_sync.has_closing_read() {
+                counter_sync.begin_closing_read(old_key);
                 calls.push(DueCall { key: old_key, disposition, add: 0.0 });
             }
-            tally.move_to_span(span);
+            counter_sync.move_to_span(span);
         }
-        let add = tally.begin_call();
+        let add = counter_sync.begin_call();
         calls.push(DueCall { key: counter_key(tenant, disposition, span), disposition, add });
         self.last_sync = now;
         calls
@@ -271,13 +271,13 @@
         may_have_arrived: bool,
     ) {
         self.first_read_done = true;
-        let tally = self.tally(disposition);
-        let remote = if tally.ends_closing_read(key) {
-            tally.end_closing_read(total)
+        let counter_sync = self.counter_sync(disposition);
+        let remote = if counter_sync.ends_closing_read(key) {
+            counter_sync.end_closing_read(total)
         } else if let Some(total) = total {
-            Some(tally.record_total(now, total))
+            Some(counter_sync.record_total(now, total))
         } else {
-            tally.record_failure(may_have_arrived);
+            counter_sync.record_failure(may_have_arrived);
             None
         };
         if let Some(remote) = remote {
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -45,7 +45,7 @@
 
     /// Time until the bucket holds so many units at its rate; ms. A request of more than this gateway's part
     /// of the burst is never admitted, which this does not say.
-    pub(super) fn time_until(&self, units: f64) -> Millis {
+    pub(super) fn time_until_available(&self, units: f64) -> Millis {
         let Some(rate) = self.rate else { return 0.0 };
         let missing = (units - self.tokens).max(0.0);
         1000.0 * missing * self.gateway_count / rate
--- a/src/policy/tally.rs
+++ b/src/policy/counter_sync.rs
@@ -22,7 +22,7 @@
 }
 
 /// One counter of a tenant as this gateway uses it.
-pub(super) struct Tally {
+pub(super) struct CounterSync {
     /// Units that have not been sent to the counter.
     unsent: f64,
     /// Units of the call that is in flight.
@@ -37,9 +37,9 @@
     closing_read: Option<ClosingRead>,
 }
 
-impl Tally {
+impl CounterSync {
     pub(super) fn new(span: i64) -> Self {
-        Tally {
+        CounterSync {
             unsent: 0.0,
             awaiting_reply: None,
             unacknowledged: 0.0,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -16,6 +16,7 @@
 mod counter_calls;
 mod counter_health;
 mod counter_key;
+mod counter_sync;
 mod disposition;
 mod endpoint_block;
 mod endpoint_health;
@@ -35,7 +36,6 @@
 mod send_rate;
 mod sliding_window;
 mod slow_start;
-mod tally;
 mod tenant;
 
 pub use counter_health::counter_call_timeout;
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -95,7 +95,7 @@
         let Some(in_flight) = self.requests.get(&id) else { return false };
         let request = &in_flight.request;
         let tenant = self.tenants.get(&request.tenant);
-        let ceiling_wait = tenant.map_or(0.0, |tenant| tenant.ceiling.time_until(request.units));
+        let ceiling_wait = tenant.map_or(0.0, |tenant| tenant.ceiling.time_until_available(request.units));
         let service_time = 2.0 * (self.class_latency(request.class) + HOUSEKEEPING_INTERVAL);
         in_flight.objective_at - now >= service_time + ceiling_wait
     }
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -128,7 +128,7 @@
             Usage::Batched(usage) => usage.units_short_of(units),
         };
         let refill = if self.has_quota() { 1000.0 * missing / self.plan.rate } else { 0.0 };
-        refill.max(self.ceiling.time_until(units))
+        refill.max(self.ceiling.time_until_available(units))
     }
 
     /// Nothing is left to remember of a tenant that has not come for so long.
