--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -1,22 +1,23 @@
-//! A plan's hard ceiling: a token bucket that each gateway keeps for its own part of a tenant's traffic.
+//! A plan's hard ceiling: each gateway keeps a token bucket with an equal part of the tenant's ceiling.
 //!
-//! Guards against many gateways that together exceed the ceiling because they cannot hear each other, have
-//! just restarted or find the counter down. It holds whatever the counter says, since the parts add up to the
-//! whole and a part is empty at the start. The cost: traffic that gathers on one gateway has to wait for that
-//! gateway's part.
+//! This keeps the gateways from exceeding the ceiling together when they cannot communicate, have just
+//! restarted or cannot reach the counter. The ceiling holds independently of the counter, because the parts
+//! add up to the whole ceiling and each part is empty when its gateway starts. The cost is that traffic
+//! concentrated on one gateway has to wait for that gateway's part to refill.
 
 use crate::ids::Millis;
 use crate::settings::Plan;
 
 /// This gateway's part of a tenant's ceiling.
 pub(super) struct CeilingBucket {
-    /// Refill of the whole ceiling, units a second; `None` if the plan has no ceiling.
+    /// Refill rate of the whole ceiling, units per second; `None` if the plan has no ceiling.
     rate: Option<f64>,
-    /// Size of the whole ceiling's bucket, units.
+    /// Burst of the whole ceiling, units.
     burst: f64,
-    /// Gateways that share the ceiling.
+    /// Number of gateways that share the ceiling.
     gateway_count: f64,
-    /// Units that may be forwarded now. Below 0 for a tenant without a ceiling.
+    /// Units that may be forwarded now. Falls below 0 for a tenant without a ceiling, which is never
+    /// refilled.
     tokens: f64,
 }
 
@@ -26,32 +27,32 @@
         CeilingBucket { rate, burst: plan.ceiling_burst, gateway_count, tokens: 0.0 }
     }
 
-    /// Refills the bucket for `seconds` that have passed.
+    /// Refills the bucket for `seconds` of elapsed time.
     pub(super) fn refill(&mut self, seconds: f64) {
         let Some(rate) = self.rate else { return };
         let refilled = self.tokens + seconds * rate / self.gateway_count;
         self.tokens = refilled.min(self.burst / self.gateway_count);
     }
 
-    /// Takes the units of a first attempt; further attempts are free.
+    /// Removes the units of a request's first attempt; retries and hedged requests cost nothing.
     pub(super) fn spend(&mut self, units: f64) {
         self.tokens -= units;
     }
 
-    /// Whether forwarding so many units now would exceed this gateway's part.
+    /// Whether forwarding `units` now would exceed this gateway's part of the ceiling.
     pub(super) fn is_short_of(&self, units: f64) -> bool {
         self.rate.is_some() && self.tokens < units
     }
 
-    /// Time until the bucket holds so many units at its rate; ms. A request of more than this gateway's part
-    /// of the burst is never admitted, which this does not say.
+    /// Time until the refill rate has added enough tokens for `units`, ms. The result ignores the bucket's
+    /// capacity: a request of more units than this gateway's part of the burst is never admitted.
     pub(super) fn time_until_available(&self, units: f64) -> Millis {
         let Some(rate) = self.rate else { return 0.0 };
         let missing = (units - self.tokens).max(0.0);
         1000.0 * missing * self.gateway_count / rate
     }
 
-    /// Time in which an empty ceiling refills whole; ms.
+    /// Time in which an empty bucket refills completely, ms.
     pub(super) fn refill_time(&self) -> Millis {
         self.rate.map_or(0.0, |rate| 1000.0 * self.burst / rate)
     }
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter service: which are made and when, and whom their replies concern.
+//! Calls to the counter service: which calls a gateway makes and when, and how it handles the replies.
 
 use super::batched_usage::SyncStatus;
 use super::counter_key::{KeyOwner, COUNTER_KEY_TTL};
@@ -36,7 +36,7 @@
         self.actions.push(Action::IncrementCounter { key, add, ttl: COUNTER_KEY_TTL });
     }
 
-    fn call_for_low_traffic(
+    fn call_counter_for_low_traffic(
         &mut self,
         tenant: TenantId,
         key: CounterKey,
@@ -50,7 +50,7 @@
 
     // ---- Outgoing calls -----------------------------------------------------------------------
 
-    /// Tells the counter what is new of a tenant, if that is due.
+    /// Synchronises a tenant's units with the counter, if a call is due.
     pub(super) fn sync_counter(&mut self, now: Millis, tenant_id: TenantId) {
         if !self.may_call_counter(now) {
             return;
@@ -75,14 +75,15 @@
                 let Some((key, add)) = usage.begin_flush(now, tenant_id, backoff_factor) else { return };
                 self.unsynced.remove(&tenant_id);
                 if add > 0.0 {
-                    self.call_for_low_traffic(tenant_id, key, add, None);
+                    self.call_counter_for_low_traffic(tenant_id, key, add, None);
                 }
             }
         }
     }
 
-    /// Makes a reservation for a request of a low-traffic tenant; for fewer of them, chosen at random, while
-    /// the counter is congested. A read that is still fresh decides without a call.
+    /// Reserves units on the counter for a request of a low-traffic tenant. While the counter is congested,
+    /// only some requests, chosen at random, make a reservation. A request needs no call while a fresh read
+    /// is cached.
     pub(super) fn reserve_on_counter(&mut self, now: Millis, in_flight: &mut InFlightRequest) {
         let roll = uniform(&mut self.rng);
         if !self.may_call_counter(now) {
@@ -96,17 +97,18 @@
             in_flight.quota_check.observed_usage = Some(usage_with_request);
             return;
         }
-        let chance = usage.call_chance(backoff_factor);
-        if roll < chance {
-            let (reservation, add) = usage.begin_reservation(now, tenant, units, chance);
+        let probability = usage.call_probability(backoff_factor);
+        if roll < probability {
+            let (reservation, add) = usage.begin_reservation(now, tenant, units, probability);
             in_flight.quota_check.reservation = Some(reservation);
             in_flight.quota_check.awaiting_counter = true;
-            self.call_for_low_traffic(tenant, reservation.key, add, Some(in_flight.request.id));
+            self.call_counter_for_low_traffic(tenant, reservation.key, add, Some(in_flight.request.id));
         }
     }
 
-    /// Takes back the reservation of a request of `units` that is not forwarded. While the counter is
-    /// congested fewer calls each take back more: those left over are worth more as reads.
+    /// Releases the reservation of a request of `units` that is not forwarded. While the counter is
+    /// congested, only some releases, chosen at random, make a call, and each of these calls releases
+    /// proportionally more units. The calls saved are more useful as reads.
     pub(super) fn release_reservation(
         &mut self,
         now: Millis,
@@ -117,15 +119,16 @@
         let backoff_factor = self.counter_health.backoff_factor();
         let Some(usage) = self.low_traffic_usage(tenant) else { return };
         let released = usage.units_to_release(now, reservation, units);
-        let chance = usage.call_chance(backoff_factor);
-        if uniform(&mut self.rng) < chance && self.counter_health.allows_call(now) {
-            self.call_for_low_traffic(tenant, reservation.key, -released / chance, None);
+        let probability = usage.call_probability(backoff_factor);
+        if uniform(&mut self.rng) < probability && self.counter_health.allows_call(now) {
+            self.call_counter_for_low_traffic(tenant, reservation.key, -released / probability, None);
         }
     }
 
     // ---- Replies ------------------------------------------------------------------------------
 
-    /// A call has ended after `elapsed` ms; `total` counts if the outcome is `Ok`.
+    /// Handles the end of a counter call that took `elapsed` ms; `total` is valid only if the outcome is
+    /// `Ok`.
     pub(super) fn counter_replied(
         &mut self,
         now: Millis,
@@ -134,7 +137,7 @@
         elapsed: Millis,
         total: f64,
     ) {
-        self.counter_health.record_reply(now, outcome, elapsed);
+        self.counter_health.record_call_outcome(now, outcome, elapsed);
         let total = (outcome == Outcome::Ok).then_some(total);
         let Some(owner) = self.counter_calls.remove(&key) else { return };
         let Some(tenant) = self.tenants.get_mut(&owner.tenant) else { return };
@@ -154,7 +157,7 @@
     fn low_traffic_call_ended(&mut self, now: Millis, owner: KeyOwner, key: CounterKey, total: Option<f64>) {
         let Some(usage) = self.low_traffic_usage(owner.tenant) else { return };
         let reserved_for = usage.call_ended(key);
-        if usage.has_pending_call_of(key) {
+        if usage.has_pending_call_for(key) {
             self.counter_calls.insert(key, owner);
         }
         if let Some(id) = reserved_for {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// The counter has answered the reservation of a request, or failed it.
+    /// Handles the end of the counter call that made a request's reservation; `total` is `None` if it failed.
     fn reservation_replied(&mut self, now: Millis, id: RequestId, total: Option<f64>) {
         let Some(in_flight) = self.requests.get_mut(&id) else { return };
         let check = &mut in_flight.quota_check;
@@ -170,15 +173,15 @@
         let tenant = in_flight.request.tenant;
         let Some(usage) = self.tenants.get_mut(&tenant).and_then(Tenant::low_traffic_usage) else { return };
         let Some((total, reservation)) = total.zip(check.reservation) else {
-            // It may have been added all the same: the key then holds too much, and what is admitted is too
-            // little.
+            // The counter may have added the units although the call failed. The key then holds too many
+            // units, and the gateways admit fewer requests than the quota allows.
             check.reservation = None;
             return;
         };
         let reply = usage.record_total(now, tenant, reservation, in_flight.request.units, total);
         check.observed_usage = Some(reply.observed_usage);
         if let Some(correction) = reply.correction {
-            self.call_for_low_traffic(tenant, reservation.key, correction, None);
+            self.call_counter_for_low_traffic(tenant, reservation.key, correction, None);
         }
     }
 }
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -1,82 +1,89 @@
-//! How often the counter service may be called: delay-based backoff, as in TCP Vegas.
+//! How often a gateway may call the counter service: delay-based backoff, as in TCP Vegas.
 //!
-//! All gateways call the same counter and cannot hear each other. The time that a call waits in the counter's
-//! queue is the one signal that all of them see, so each steers its own rate of calls by it and their rates
-//! agree. The backoff factor says how many times rarer than usual calls are made.
+//! All gateways call the same counter and do not communicate with each other. The queueing delay of a call at
+//! the counter is the only signal that all gateways observe. Each gateway adapts its call rate to this delay,
+//! so the call rates of the gateways converge. A backoff factor of N means that calls are N times rarer than
+//! usual.
 
 use crate::event::Outcome;
 use crate::ids::Millis;
 use crate::settings::Settings;
 
-/// Share of the shortest latency objective of all classes that a call may take ...
+/// Time-out of a counter call, as a share of the shortest latency objective of all classes.
 const CALL_TIMEOUT_SHARE: f64 = 0.25;
-/// ... within this, ms, unless the settings name more.
+/// Upper bound of the time-out of a counter call, ms, unless [`Settings::counter_timeout`] is longer.
 const MAX_CALL_TIMEOUT: Millis = 800.0;
-/// Longest pause between calls to an unresponsive counter, ms: its return is noticed within this.
+/// Longest pause between calls to an unresponsive counter, ms. The gateway notices within this time that the
+/// counter has recovered.
 const MAX_RETRY_PAUSE: Millis = 800.0;
-/// The counter is unresponsive once calls have failed and none was answered for this long, ms.
+/// The counter counts as unresponsive when a call fails and no call was answered for this long, ms.
 const UNRESPONSIVE_AFTER: Millis = 1000.0;
-/// Backoff factor past which the counter counts as congested.
-const CONGESTED: f64 = 1.5;
-/// Age up to which a tenant's usage is trusted while the counter is congested, ms.
+/// The counter counts as congested while the backoff factor is above this value.
+const CONGESTION_THRESHOLD: f64 = 1.5;
+/// While the counter is congested, a tenant's usage as last read is trusted up to this age, ms.
 const MAX_CACHE_AGE: Millis = 1500.0;
-/// Queueing delay to aim at, as a share of the counter's time-out: the counter is never idle, and most calls
-/// are answered in time.
-const TARGET_QUEUE_SHARE: f64 = 0.5;
-/// Shortest queueing delay to aim at, ms.
-const MIN_TARGET_QUEUE: Millis = 1.0;
-/// Gain with which the baseline latency follows a counter that has become slower, for each reply.
+/// Target of the queueing delay, as a share of [`Settings::counter_timeout`]. With this target the counter is
+/// never idle, and most calls are answered in time.
+const TARGET_QUEUEING_DELAY_SHARE: f64 = 0.5;
+/// Lower bound of the target queueing delay, ms.
+const MIN_TARGET_QUEUEING_DELAY: Millis = 1.0;
+/// Gain per reply with which the baseline latency rises when the counter has become slower.
 const BASELINE_GAIN: f64 = 0.01;
-/// Change of the factor's logarithm for a reply: minus this for one that did not queue, plus this for one
-/// that queued twice the target. Large steps make the weights of reservations unsteady.
+/// Step of the backoff factor's logarithm for one reply: minus this value for a reply without queueing delay,
+/// plus this value for a reply with twice the target delay. Larger steps would make the number of units that
+/// a reservation stands for fluctuate.
 const BACKOFF_GAIN: f64 = 0.02;
-/// Most that one slow reply counts for, in targets beyond the target.
+/// Upper bound on the excess of one reply's queueing delay over the target, in multiples of the target.
 const MAX_EXCESS_DELAY: f64 = 2.0;
-/// A reply that queued for less than this share of the target is fast.
+/// A reply counts as fast if its queueing delay is below this share of the target.
 const FAST_REPLY_SHARE: f64 = 0.5;
-/// After so many fast replies in a row there is spare capacity ...
-const FAST_REPLIES_IN_A_ROW: u32 = 4;
-/// ... and each lowers the factor's logarithm by this: few calls are left to learn from once a surge has
-/// passed.
+/// Number of consecutive fast replies that shows that the counter has spare capacity.
+const MIN_CONSECUTIVE_FAST_REPLIES: u32 = 4;
+/// While the counter has spare capacity, each fast reply lowers the backoff factor's logarithm by this value.
+/// The step is large because after a surge the gateway makes few calls from which it could learn of the spare
+/// capacity.
 const FAST_REPLY_STEP: f64 = 0.1;
-/// The factor rises by this at a failed call, to the power of the rejections in a row: a single one may be
-/// chance, several show that far too much is asked.
-const REJECTION_FACTOR: f64 = 1.4;
-const MAX_REJECTIONS_IN_A_ROW: u32 = 4;
-/// Upper bound of the factor: for a counter that can serve one request in hundreds.
+/// A failed call multiplies the backoff factor by this value to the power of the consecutive rejections. One
+/// rejection may be chance; several show that the gateways make far too many calls.
+const BACKOFF_RAISE_FACTOR: f64 = 1.4;
+/// Upper bound on the exponent of [`BACKOFF_RAISE_FACTOR`].
+const MAX_CONSECUTIVE_REJECTIONS: u32 = 4;
+/// Upper bound of the backoff factor, for a counter that can serve only one request in several hundred.
 const MAX_BACKOFF_FACTOR: f64 = 400.0;
-/// Calls fail together: the factor rises once in this time, ms.
+/// Failed calls raise the backoff factor at most once in this time, ms, because calls tend to fail together.
 const BACKOFF_RAISE_INTERVAL: Millis = 200.0;
 
-/// How long a call to the counter is waited for; ms. Not less than [`Settings::counter_timeout`], and longer
-/// where the latency objectives leave time: a late reply is still of use.
+/// Time-out of a call to the counter, ms. The time-out is at least [`Settings::counter_timeout`], and longer
+/// if the latency objectives leave time, because a late reply is still useful.
 pub fn counter_call_timeout(settings: &Settings) -> Millis {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
     let shortest = objectives.fold(f64::INFINITY, f64::min);
     (CALL_TIMEOUT_SHARE * shortest).min(MAX_CALL_TIMEOUT).max(settings.counter_timeout)
 }
 
-/// What the replies of the counter service tell of its load.
+/// Load and availability of the counter service, estimated from the calls that this gateway makes.
 pub(super) struct CounterHealth {
-    /// [`Settings::counter_timeout`], ms: the scale of the queueing delay to aim at.
+    /// [`Settings::counter_timeout`], ms. The target queueing delay is a share of it.
     timeout: Millis,
     last_reply_at: Option<Millis>,
-    /// Calls have failed, and none was answered for long.
+    /// A call has failed, and no call was answered in the last [`UNRESPONSIVE_AFTER`] ms.
     unresponsive: bool,
-    /// Pause between calls to an unresponsive counter, ms, and its end.
+    /// Pause between calls to an unresponsive counter, ms.
     retry_pause: Millis,
+    /// End of the current pause.
     paused_until: Option<Millis>,
     backoff_factor: f64,
     backoff_raised_at: Option<Millis>,
-    /// Time that a call takes while the counter has no queue, ms.
+    /// Estimated latency of a call while the counter has no queue, ms.
     baseline_latency: Option<Millis>,
-    consecutive_fast: u32,
-    /// Failures since the last reply that raised the factor; a call without an answer counts as the first.
-    consecutive_rejected: u32,
+    consecutive_fast_replies: u32,
+    /// Consecutive rejections that have raised the backoff factor. A reply resets this to 0, and another
+    /// failed call that raises the factor sets it to 1.
+    consecutive_rejections: u32,
 }
 
 impl CounterHealth {
-    /// A counter of which nothing is known; `timeout` as in [`Settings::counter_timeout`], ms.
+    /// The state before the first call; `timeout` is [`Settings::counter_timeout`], ms.
     pub(super) fn new(timeout: Millis) -> Self {
         CounterHealth {
             timeout,
@@ -87,23 +94,23 @@
             backoff_factor: 1.0,
             backoff_raised_at: None,
             baseline_latency: None,
-            consecutive_fast: 0,
-            consecutive_rejected: 0,
+            consecutive_fast_replies: 0,
+            consecutive_rejections: 0,
         }
     }
 
-    /// Whether a call may be made now.
+    /// Whether the gateway may call the counter now.
     pub(super) fn allows_call(&self, now: Millis) -> bool {
         self.paused_until.is_none_or(|until| now >= until)
     }
 
-    /// How many times rarer than usual calls are to be made; at least 1.
+    /// How many times rarer than usual the gateway should call the counter; at least 1.
     pub(super) fn backoff_factor(&self) -> f64 {
         self.backoff_factor
     }
 
-    /// Age past which a tenant's usage, as last read, says nothing of the other gateways; `None`: it always
-    /// does.
+    /// Age from which a tenant's usage, as last read, is too old to reflect the other gateways' requests.
+    /// `None` means that the usage is never too old.
     pub(super) fn max_cache_age(&self) -> Option<Millis> {
         if self.unresponsive {
             Some(0.0)
@@ -114,14 +121,14 @@
         }
     }
 
-    /// Takes the end of a call that took `elapsed` ms as evidence.
-    pub(super) fn record_reply(&mut self, now: Millis, outcome: Outcome, elapsed: Millis) {
+    /// Updates the estimates with the outcome of a call that took `elapsed` ms.
+    pub(super) fn record_call_outcome(&mut self, now: Millis, outcome: Outcome, elapsed: Millis) {
         match outcome {
-            Outcome::Ok => self.record_answer(now, elapsed),
+            Outcome::Ok => self.record_reply(now, elapsed),
             Outcome::Rejected => self.raise_backoff(now, true),
-            // A call that was lost with its connection tells nothing of the counter's load.
+            // A call whose connection was lost gives no information about the counter's load.
             Outcome::Reset => {}
-            // One without an answer may as well tell that the counter is gone, which is no congestion.
+            // An unresponsive counter may be down rather than congested.
             _ if self.unresponsive => {}
             _ => self.raise_backoff(now, false),
         }
@@ -131,7 +138,7 @@
         }
     }
 
-    fn record_answer(&mut self, now: Millis, elapsed: Millis) {
+    fn record_reply(&mut self, now: Millis, elapsed: Millis) {
         self.last_reply_at = Some(now);
         self.unresponsive = false;
         self.retry_pause = 0.0;
@@ -140,11 +147,12 @@
             .baseline_latency
             .map_or(elapsed, |baseline| (baseline + (elapsed - baseline) * BASELINE_GAIN).min(elapsed));
         self.baseline_latency = Some(baseline);
-        let target = (TARGET_QUEUE_SHARE * self.timeout).max(MIN_TARGET_QUEUE);
+        let target = (TARGET_QUEUEING_DELAY_SHARE * self.timeout).max(MIN_TARGET_QUEUEING_DELAY);
         let queueing_delay = (elapsed - baseline) / target;
-        self.consecutive_rejected = 0;
-        self.consecutive_fast = if queueing_delay < FAST_REPLY_SHARE { self.consecutive_fast + 1 } else { 0 };
-        let step = if self.consecutive_fast >= FAST_REPLIES_IN_A_ROW {
+        self.consecutive_rejections = 0;
+        self.consecutive_fast_replies =
+            if queueing_delay < FAST_REPLY_SHARE { self.consecutive_fast_replies + 1 } else { 0 };
+        let step = if self.consecutive_fast_replies >= MIN_CONSECUTIVE_FAST_REPLIES {
             -FAST_REPLY_STEP
         } else {
             BACKOFF_GAIN * (queueing_delay - 1.0).min(MAX_EXCESS_DELAY)
@@ -153,13 +161,13 @@
     }
 
     fn raise_backoff(&mut self, now: Millis, rejected: bool) {
-        self.consecutive_fast = 0;
+        self.consecutive_fast_replies = 0;
         if self.backoff_raised_at.is_some_and(|at| now - at < BACKOFF_RAISE_INTERVAL) {
             return;
         }
-        self.consecutive_rejected =
-            if rejected { (self.consecutive_rejected + 1).min(MAX_REJECTIONS_IN_A_ROW) } else { 1 };
-        self.backoff_factor *= REJECTION_FACTOR.powi(self.consecutive_rejected as i32);
+        self.consecutive_rejections =
+            if rejected { (self.consecutive_rejections + 1).min(MAX_CONSECUTIVE_REJECTIONS) } else { 1 };
+        self.backoff_factor *= BACKOFF_RAISE_FACTOR.powi(self.consecutive_rejections as i32);
         self.backoff_raised_at = Some(now);
     }
 
@@ -175,7 +183,7 @@
     }
 }
 
-/// Whether a backoff factor stands for a counter that cannot serve all calls.
+/// Whether a backoff factor indicates that the counter cannot serve all calls.
 pub(super) fn is_congested(backoff_factor: f64) -> bool {
-    backoff_factor > CONGESTED
+    backoff_factor > CONGESTION_THRESHOLD
 }
--- a/src/policy/disposition.rs
+++ b/src/policy/disposition.rs
@@ -1,11 +1,12 @@
-//! What became of the units that a tenant asked for.
+//! Whether the units of a request were forwarded.
 
-/// Whether a request's units were forwarded. The two are counted apart, so that a counter reply that covers
-/// only one of them never makes the other inconsistent; a tenant's demand is their sum.
+/// Whether a request's units were forwarded. The units of each disposition are counted separately, so that a
+/// counter reply for one disposition never makes the count of the other inconsistent. A tenant's demand is
+/// the sum of both counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Disposition {
     /// Forwarded to a server.
     Forwarded,
-    /// Not forwarded: rejected, shed, or its client disconnected before.
+    /// Not forwarded: the request was rejected or shed, or its client disconnected before it was forwarded.
     NotForwarded,
 }
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -1,88 +1,93 @@
-//! Quota admission of a low-traffic tenant: one of which each gateway sees too little to count in batches. In
-//! a large fleet that is almost every tenant, and a gateway then knows nothing of a tenant that it has not
-//! just read.
+//! Quota admission of a low-traffic tenant: a tenant that sends each gateway too few requests to count them
+//! in batches. In a large fleet almost every tenant is a low-traffic tenant, and a gateway knows the usage of
+//! such a tenant only for a short time after reading it from the counter.
 //!
-//! The count is therefore kept where all gateways can act on it at once. A counter key holds the units
-//! accepted since its span began; less what the rate has yielded since then, that is the use in the sliding
-//! window. One call both makes a reservation for a request and reads that use, which decides on the request;
-//! the reservation of a request that is declined is released. While the counter is congested fewer requests
-//! make a call, chosen at random, and each call then stands for more; a request without a call is rejected
-//! with the tenant's recent rejection ratio.
+//! The usage is therefore kept on the counter, where a change is visible to all gateways at once. A counter
+//! key holds the units accepted since its period began. These units, less the units that the rate has
+//! refilled since then, are the usage in the sliding window. One call makes a reservation for a request and
+//! reads this usage, and the usage decides whether the request is admitted. If the request is not forwarded,
+//! its reservation is released. While the counter is congested, only some requests, chosen at random, make a
+//! call, and each call reserves units for the other requests too. A request without a call is rejected with a
+//! probability equal to the tenant's recent rejection ratio.
 //!
-//! Guards against gateways that each estimate a rate and then all admit the same excess, or all reject the
-//! same room. It covers skewed traffic, spikes and restarts without memory; the cost is a call wherever no
-//! read is fresh.
+//! This prevents gateways that each estimate a rate from all admitting the same excess units, or all
+//! rejecting requests for the same unused units. It also works with skewed traffic, spikes, and restarts that
+//! lose all state. The cost is a counter call for each request for which no recent read is cached.
 
 use super::batched_usage::SYNC_INTERVAL;
-use super::counter_key::{counter_key, span_at, COUNTER_KEY_SPAN};
+use super::counter_key::{counter_key, period_at, COUNTER_KEY_PERIOD};
 use super::disposition::Disposition;
 use super::quota::{Quota, QuotaCheck, Reservation, HARD_LIMIT_FACTOR};
 
 use crate::ids::{CounterKey, Millis, RequestId, TenantId};
 use std::collections::VecDeque;
 
-/// Power of the backoff factor for a tenant with a ceiling: the ceiling holds it anyway, so it gives way to
-/// the others while the counter is congested.
+/// Exponent of the backoff factor for a tenant with a ceiling. The ceiling limits such a tenant in any case,
+/// so its calls are reduced more than those of other tenants while the counter is congested.
 const CEILING_BACKOFF_POWER: f64 = 3.0;
-/// Least chance of a call for such a tenant, unless the others' is smaller.
-const MIN_CALL_CHANCE: f64 = 0.1;
-/// A total that lags behind what the rate has yielded by more than this share of the burst is raised: units
-/// saved up beyond the burst would else be admitted at once. Smaller lags are left, which spares calls.
-const MAX_LAG: f64 = 1.0;
-/// A total that leads by more than this share of the burst is lowered: two gateways have raised it at once.
-const MAX_LEAD: f64 = 2.0;
-/// Gain of the recent rejection ratio for a decision on a read.
+/// Lower bound of the call probability for a tenant with a ceiling, unless the probability for other tenants
+/// is smaller.
+const MIN_CALL_PROBABILITY: f64 = 0.1;
+/// A total that is below the refilled units by more than this share of the burst is raised to them. Without
+/// this correction, units that have accumulated beyond the burst would be admitted at once. Smaller
+/// differences are not corrected, which saves calls.
+const MAX_TOTAL_LAG: f64 = 1.0;
+/// A total that is above the refilled units by more than this share of the burst is lowered until it exceeds
+/// them by this share. Such a total arises when two gateways raise it at the same time.
+const MAX_TOTAL_LEAD: f64 = 2.0;
+/// Gain with which a decision that is based on a read changes the recent rejection ratio.
 const REJECTION_RATIO_GAIN: f64 = 0.3;
-/// Time constant with which the recent rejection ratio decays, ms: tenants exceed their quotas for seconds to
+/// Time constant of the decay of the recent rejection ratio, ms. Tenants exceed their quotas for seconds to
 /// hours.
 const REJECTION_RATIO_TIME_CONSTANT: Millis = 30_000.0;
-/// Keys of tenants are staggered over the span in so many steps: all ending at once would bring on
-/// corrections of all tenants together.
-const SPAN_STEPS: u64 = 64;
+/// Number of steps in which the key periods of different tenants are staggered. If all periods ended at the
+/// same time, the corrections of all tenants would be sent together.
+const PERIOD_STAGGER_STEPS: u64 = 64;
 
 /// A counter call in flight.
 struct PendingCall {
     key: CounterKey,
-    /// The request whose reservation it makes.
+    /// The request for which the call makes a reservation, if any.
     reserved_for: Option<RequestId>,
 }
 
-/// Exponentially decaying share of requests that were rejected.
+/// Exponentially decaying share of rejected requests.
 #[derive(Clone, Copy)]
 struct RejectionRatio {
     updated_at: Millis,
     ratio: f64,
 }
 
-/// The tenant's use as last read, with what was forwarded here since.
+/// The tenant's usage as last read, plus the units that this gateway has forwarded since then.
 #[derive(Clone, Copy)]
 struct CachedUsage {
     read_at: Millis,
     units: f64,
 }
 
-/// A tenant's present key, and what the rate has yielded since its span began.
-struct KeySpan {
+/// A tenant's current counter key.
+struct CurrentKey {
     key: CounterKey,
-    yielded: f64,
+    /// Units that the rate has refilled since the key's period began.
+    refilled: f64,
 }
 
-/// What the counter's reply to a reservation says.
+/// What the gateway learns from the counter's reply to a reservation.
 pub(super) struct ReservationReply {
-    /// The use of the quota with this request, units.
+    /// Usage of the quota including the request, units.
     pub(super) observed_usage: f64,
-    /// Units to add to the key so that it is right again.
+    /// Units to add to the key to correct its total, if necessary.
     pub(super) correction: Option<f64>,
 }
 
-/// Use of a quota as reserved on the counter.
+/// Usage of a quota, reserved on the counter.
 pub(super) struct LowTrafficUsage {
     quota: Quota,
     has_ceiling: bool,
     pending_calls: VecDeque<PendingCall>,
     recent_rejections: Option<RejectionRatio>,
     cached_usage: Option<CachedUsage>,
-    /// Units forwarded on a cached read that have not been sent to the counter.
+    /// Units that were forwarded on the basis of a cached read and have not been sent to the counter.
     unsent: f64,
 }
 
@@ -98,23 +103,24 @@
         }
     }
 
-    /// The present key. What the key before still holds is forgiven, a burst at most: reading it would cost
-    /// more calls.
-    fn key_span(&self, tenant: TenantId, now: Millis) -> KeySpan {
-        let phase = (tenant.0 % SPAN_STEPS) as f64 / SPAN_STEPS as f64 * COUNTER_KEY_SPAN;
-        let shifted = now + phase;
-        let key = counter_key(tenant, Disposition::Forwarded, span_at(shifted));
-        let yielded = self.quota.rate * shifted.rem_euclid(COUNTER_KEY_SPAN) / 1000.0;
-        KeySpan { key, yielded }
+    /// The current key. The usage that is left on the previous key, at most one burst, is ignored, because
+    /// reading it would cost additional calls.
+    fn current_key(&self, tenant: TenantId, now: Millis) -> CurrentKey {
+        let stagger =
+            (tenant.0 % PERIOD_STAGGER_STEPS) as f64 / PERIOD_STAGGER_STEPS as f64 * COUNTER_KEY_PERIOD;
+        let shifted = now + stagger;
+        let key = counter_key(tenant, Disposition::Forwarded, period_at(shifted));
+        let refilled = self.quota.rate * shifted.rem_euclid(COUNTER_KEY_PERIOD) / 1000.0;
+        CurrentKey { key, refilled }
     }
 
-    /// Chance with which a call is made.
-    pub(super) fn call_chance(&self, backoff_factor: f64) -> f64 {
+    /// The probability with which a request makes a call.
+    pub(super) fn call_probability(&self, backoff_factor: f64) -> f64 {
         let power = if self.has_ceiling { CEILING_BACKOFF_POWER } else { 1.0 };
-        backoff_factor.powf(-power).max(MIN_CALL_CHANCE.min(1.0 / backoff_factor))
+        backoff_factor.powf(-power).max(MIN_CALL_PROBABILITY.min(1.0 / backoff_factor))
     }
 
-    /// The use with a request of so many units, if a read of the shortest time between two calls is at hand.
+    /// The usage including a request of `units`, if a read younger than [`SYNC_INTERVAL`] is cached.
     pub(super) fn fresh_usage_with(&self, now: Millis, units: f64) -> Option<f64> {
         let fresh = self.cached_usage.filter(|cached| now - cached.read_at < SYNC_INTERVAL)?;
         Some(fresh.units + units)
@@ -122,21 +128,22 @@
 
     // ---- Calls --------------------------------------------------------------------------------
 
-    /// A reservation for a request, standing for all those that make no call; and the units to add for it,
-    /// with what is unsent.
+    /// Begins a reservation for a request of `units`. The reservation also covers the requests that make no
+    /// call while calls are made with probability `probability`. Returns the reservation, and the units to
+    /// add to the counter for the reservation and all unsent units.
     pub(super) fn begin_reservation(
         &mut self,
         now: Millis,
         tenant: TenantId,
         units: f64,
-        chance: f64,
+        probability: f64,
     ) -> (Reservation, f64) {
-        let reservation = Reservation { key: self.key_span(tenant, now).key, units: units / chance };
+        let reservation = Reservation { key: self.current_key(tenant, now).key, units: units / probability };
         (reservation, reservation.units + std::mem::take(&mut self.unsent))
     }
 
-    /// What was forwarded on cached reads and is to be sent to the counter now; none while the last read is
-    /// fresh.
+    /// The current key and the unsent units, which the gateway sends to the counter now; `None` while the
+    /// last read is recent enough that unsent units can wait.
     pub(super) fn begin_flush(
         &mut self,
         now: Millis,
@@ -147,11 +154,11 @@
         if self.cached_usage.is_some_and(|cached| now - cached.read_at < max_age) {
             return None;
         }
-        Some((self.key_span(tenant, now).key, std::mem::take(&mut self.unsent)))
+        Some((self.current_key(tenant, now).key, std::mem::take(&mut self.unsent)))
     }
 
-    /// Units to take back for a reservation of a request of `units` that is not forwarded. What stands for
-    /// requests that were admitted without a call stays.
+    /// Units to release from the reservation of a request of `units` that is not forwarded. The part of the
+    /// reservation that covers requests admitted without a call is kept.
     pub(super) fn units_to_release(&self, now: Millis, reservation: Reservation, units: f64) -> f64 {
         units + (reservation.units - units) * self.recent_rejection_ratio(now)
     }
@@ -160,14 +167,14 @@
         self.pending_calls.push_back(PendingCall { key, reserved_for });
     }
 
-    /// The oldest call of a key has ended, as calls of one key end in order: the request whose reservation it
-    /// made.
+    /// Removes the oldest pending call for a key, because calls for one key end in order. Returns the request
+    /// for which the call made a reservation, if any.
     pub(super) fn call_ended(&mut self, key: CounterKey) -> Option<RequestId> {
         let position = self.pending_calls.iter().position(|call| call.key == key)?;
         self.pending_calls.remove(position)?.reserved_for
     }
 
-    pub(super) fn has_pending_call_of(&self, key: CounterKey) -> bool {
+    pub(super) fn has_pending_call_for(&self, key: CounterKey) -> bool {
         self.pending_calls.iter().any(|call| call.key == key)
     }
 
@@ -175,7 +182,7 @@
         !self.pending_calls.is_empty()
     }
 
-    /// Takes in the total that the counter answered to a reservation for a request of `units`.
+    /// Records the total that the counter returned for the reservation of a request of `units`.
     pub(super) fn record_total(
         &mut self,
         now: Millis,
@@ -184,26 +191,26 @@
         units: f64,
         total: f64,
     ) -> ReservationReply {
-        let present = self.key_span(tenant, now);
+        let current = self.current_key(tenant, now);
         let burst = self.quota.burst;
-        let net_usage = total - reservation.units - present.yielded;
+        let net_usage = total - reservation.units - current.refilled;
         let used = net_usage.max(0.0);
         self.cached_usage = Some(CachedUsage { read_at: now, units: used });
-        let lags = net_usage < -MAX_LAG * burst;
-        let leads = net_usage > MAX_LEAD * burst;
-        let target = if net_usage < 0.0 { 0.0 } else { MAX_LEAD * burst };
-        let correction = (present.key == reservation.key && (lags || leads)).then_some(target - net_usage);
+        let lags = net_usage < -MAX_TOTAL_LAG * burst;
+        let leads = net_usage > MAX_TOTAL_LEAD * burst;
+        let target = if net_usage < 0.0 { 0.0 } else { MAX_TOTAL_LEAD * burst };
+        let correction = (current.key == reservation.key && (lags || leads)).then_some(target - net_usage);
         ReservationReply { observed_usage: used + units, correction }
     }
 
     // ---- Admission ----------------------------------------------------------------------------
 
-    /// Whether the quota admits a request: by its use as just read, or else by the recent rejection ratio.
-    /// `roll` is a uniform draw from 0 to 1.
+    /// Whether the quota admits a request. The observed usage decides if there is one, otherwise the recent
+    /// rejection ratio. `roll` is a uniform draw from 0 to 1.
     pub(super) fn admits(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> bool {
         let burst = self.quota.burst;
         let admitted = match check.observed_usage {
-            // Use over burst is the perceived rate over the rate, in a window of burst / rate.
+            // In a window of burst / rate, used / burst equals perceived rate / rate.
             Some(used) => used <= burst * HARD_LIMIT_FACTOR && roll >= 1.0 - burst / used,
             None => roll >= self.recent_rejection_ratio(now),
         };
@@ -213,7 +220,7 @@
         admitted
     }
 
-    /// Share of this tenant's requests that were rejected lately, 0 to 1.
+    /// Share of this tenant's recent requests that were rejected, 0 to 1.
     fn recent_rejection_ratio(&self, now: Millis) -> f64 {
         self.recent_rejections.map_or(0.0, |recent| {
             recent.ratio * (-(now - recent.updated_at) / REJECTION_RATIO_TIME_CONSTANT).exp()
@@ -227,7 +234,8 @@
         self.recent_rejections = Some(RejectionRatio { updated_at: now, ratio });
     }
 
-    /// Counts a forwarded request into the cached use, and tells it later where it has no reservation.
+    /// Adds a forwarded request to the cached usage. If the request has no reservation, its units are sent to
+    /// the counter later.
     pub(super) fn record_forwarded(&mut self, check: &QuotaCheck, units: f64) {
         if check.observed_usage.is_none() {
             return;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,44 +1,45 @@
-//! A tenant's quota, and how far the check of one request against it has come.
+//! A tenant's quota, and the state of checking one request against it.
 
 use crate::ids::{CounterKey, Millis};
 
-/// Multiple of the quota past which nothing beyond it is admitted by chance. Close to 1, as what passes
-/// beyond the quota earns nothing.
+/// Multiple of the quota above which probabilistic rejection ends and every request beyond the quota is
+/// rejected. The multiple is close to 1 because units forwarded beyond the quota earn nothing.
 pub(super) const HARD_LIMIT_FACTOR: f64 = 1.05;
 
-/// The quota of one tenant, over all its gateways.
+/// The quota of one tenant, for all its gateways together.
 #[derive(Clone, Copy)]
 pub(super) struct Quota {
-    /// Refill of the token bucket, units a second.
+    /// Refill rate of the token bucket, units per second.
     pub(super) rate: f64,
     /// Size of the token bucket, units.
     pub(super) burst: f64,
-    /// Gateways that the tenant's requests come in through; at least 1.
+    /// Number of gateways that receive the tenant's requests; at least 1.
     pub(super) gateway_count: f64,
 }
 
 impl Quota {
-    /// Width of the sliding window, ms: in it the rate yields the burst.
+    /// Width of the sliding window, ms: the time in which the rate refills the whole burst.
     pub(super) fn window(&self) -> Millis {
         1000.0 * self.burst / self.rate
     }
 }
 
-/// Units reserved on the counter for a request, and for those that it stands for.
+/// Units reserved on the counter for a request. While the counter is congested, a reservation also covers the
+/// requests that are checked without a counter call.
 #[derive(Clone, Copy)]
 pub(super) struct Reservation {
     pub(super) key: CounterKey,
     pub(super) units: f64,
 }
 
-/// How far the quota check of a low-traffic tenant's request has come.
+/// State of the quota check of a low-traffic tenant's request.
 #[derive(Default)]
 pub(super) struct QuotaCheck {
-    /// The reply to its reservation is still to come.
+    /// The counter has not yet replied to the request's reservation.
     pub(super) awaiting_counter: bool,
-    /// The quota admits it; it is not asked again.
+    /// The quota has admitted the request; the check is not repeated.
     pub(super) admitted: bool,
     pub(super) reservation: Option<Reservation>,
-    /// The use of the quota with this request, as read from the counter; units.
+    /// Usage of the quota including this request, as read from the counter, units; `None` without a read.
     pub(super) observed_usage: Option<f64>,
 }
--- a/src/policy/sliding_window.rs
+++ b/src/policy/sliding_window.rs
@@ -4,21 +4,21 @@
 use crate::ids::Millis;
 use std::collections::VecDeque;
 
-/// Counts of one bucket of time.
+/// Units counted in one bucket of time.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the bucket: its start over the width.
+    /// Number of the bucket: its start time divided by the bucket width.
     index: i64,
-    /// Accepted by this gateway.
-    forwarded_here: f64,
-    /// Accepted by all gateways, as far as known.
+    /// Units forwarded by this gateway.
+    forwarded_locally: f64,
+    /// Units forwarded by all gateways, as far as this gateway knows.
     forwarded: f64,
-    /// Declined by all gateways, as far as known.
+    /// Units that the gateways did not forward, as far as this gateway knows.
     not_forwarded: f64,
 }
 
 impl Bucket {
-    fn of(&self, disposition: Disposition) -> f64 {
+    fn units(&self, disposition: Disposition) -> f64 {
         match disposition {
             Disposition::Forwarded => self.forwarded,
             Disposition::NotForwarded => self.not_forwarded,
@@ -26,15 +26,15 @@
     }
 }
 
-/// Units by the time at which they were asked for.
+/// Units of forwarded and not forwarded requests over time.
 pub(super) struct SlidingWindow {
     bucket_width: Millis,
-    /// Ordered by index.
+    /// Buckets in ascending order of their index; buckets without units may be missing.
     buckets: VecDeque<Bucket>,
 }
 
 impl SlidingWindow {
-    /// An empty window of buckets of this width, ms.
+    /// An empty window; `bucket_width` in ms.
     pub(super) fn new(bucket_width: Millis) -> Self {
         SlidingWindow { bucket_width, buckets: VecDeque::new() }
     }
@@ -43,7 +43,7 @@
         (at / self.bucket_width).floor() as i64
     }
 
-    /// Drops the buckets that began at `from` or before.
+    /// Drops the buckets that begin at `from` or earlier.
     pub(super) fn drop_before(&mut self, from: Millis) {
         let last_dropped = self.index_at(from);
         while self.buckets.front().is_some_and(|bucket| bucket.index <= last_dropped) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Adds units that were decided on at a time, at any gateway.
+    /// Adds units of requests that any gateway decided on at the time `at`.
     pub(super) fn add(&mut self, disposition: Disposition, at: Millis, units: f64) {
         let bucket = self.bucket_at(at);
         match disposition {
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Notes that units already added with [`SlidingWindow::add`] were accepted by this gateway.
-    pub(super) fn note_forwarded_here(&mut self, at: Millis, units: f64) {
-        self.bucket_at(at).forwarded_here += units;
+    /// Records that units already added with [`SlidingWindow::add`] were forwarded by this gateway.
+    pub(super) fn record_forwarded_locally(&mut self, at: Millis, units: f64) {
+        self.bucket_at(at).forwarded_locally += units;
     }
 
     fn bucket_at(&mut self, at: Millis) -> &mut Bucket {
@@ -74,25 +74,25 @@
         &mut self.buckets[position]
     }
 
-    /// Units of one disposition in the window.
+    /// Units of one disposition in the whole window.
     pub(super) fn total(&self, disposition: Disposition) -> f64 {
-        self.buckets.iter().map(|bucket| bucket.of(disposition)).sum()
+        self.buckets.iter().map(|bucket| bucket.units(disposition)).sum()
     }
 
-    /// Units of both dispositions in the window.
+    /// Units of both dispositions in the whole window.
     pub(super) fn demand(&self) -> f64 {
         self.total(Disposition::Forwarded) + self.total(Disposition::NotForwarded)
     }
 
-    /// Units of both dispositions in the buckets that began after `from`.
+    /// Units of both dispositions in the buckets that begin after `from`.
     pub(super) fn demand_since(&self, from: Millis) -> f64 {
         let last_excluded = self.index_at(from);
         let counted = self.buckets.iter().filter(|bucket| bucket.index > last_excluded);
         counted.map(|bucket| bucket.forwarded + bucket.not_forwarded).sum()
     }
 
-    /// Units accepted by this gateway in the window.
-    pub(super) fn forwarded_here(&self) -> f64 {
-        self.buckets.iter().map(|bucket| bucket.forwarded_here).sum()
+    /// Units forwarded by this gateway in the whole window.
+    pub(super) fn forwarded_locally(&self) -> f64 {
+        self.buckets.iter().map(|bucket| bucket.forwarded_locally).sum()
     }
 }
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -1,38 +1,42 @@
-//! What a gateway knows of one tenant.
+//! The state that a gateway keeps for one tenant.
 
 use super::batched_usage::BatchedUsage;
 use super::ceiling::CeilingBucket;
-use super::counter_key::COUNTER_KEY_SPAN;
+use super::counter_key::COUNTER_KEY_PERIOD;
 use super::disposition::Disposition;
 use super::low_traffic::LowTrafficUsage;
 use super::quota::Quota;
 use crate::ids::Millis;
 use crate::settings::Plan;
 
-/// A tenant idle for this long is forgotten, ms, once its buckets have refilled. At least the span of a
-/// counter key, so that a key's old units are not read again; much longer would keep all that come only once.
-const EVICT_IDLE_AFTER: Millis = COUNTER_KEY_SPAN;
-/// A gateway sees too little of a tenant to count in batches where its part of the burst is under this share
-/// of the largest request.
+/// A tenant is evicted after it has been idle for this long, ms, and its buckets have refilled. The time is
+/// at least the period of a counter key, so that a tenant that returns after its eviction does not read the
+/// old units of the same key again. A much longer time would keep every tenant that sends a single request in
+/// memory.
+const EVICT_IDLE_AFTER: Millis = COUNTER_KEY_PERIOD;
+/// A tenant without a ceiling is a low-traffic tenant if one gateway's part of the burst is below this share
+/// of the largest request: the gateway then receives too few of its requests to count them in batches.
 const LOW_TRAFFIC_SHARE: f64 = 0.75;
-/// The same for a tenant with a ceiling.
+/// A tenant with a ceiling is a low-traffic tenant if one gateway's part of the burst is below this multiple
+/// of the largest request.
 const LOW_TRAFFIC_SHARE_WITH_CEILING: f64 = 2.0;
 
-/// How a tenant's use of its quota is followed.
+/// How the gateway tracks a tenant's usage of its quota.
 pub(super) enum Usage {
-    /// Counted here and sent to the counter in batches.
+    /// The gateway counts units itself and sends them to the counter in batches.
     Batched(BatchedUsage),
-    /// Reserved on the counter, one call a request: this gateway alone sees too little of it.
+    /// The gateway reserves units on the counter with one call per request, because it receives too few of
+    /// the tenant's requests to estimate the usage itself.
     LowTraffic(LowTrafficUsage),
 }
 
-/// One tenant at this gateway.
+/// State of one tenant at this gateway.
 pub(super) struct Tenant {
     pub(super) plan: Plan,
-    /// Gateways that the tenant's requests come in through; at least 1.
+    /// Number of gateways that receive the tenant's requests; at least 1.
     gateway_count: f64,
     last_seen: Millis,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     in_flight: f64,
     pub(super) ceiling: CeilingBucket,
     /// When the token buckets were last refilled.
@@ -41,8 +45,8 @@
 }
 
 impl Tenant {
-    /// A tenant that has just come. Its buckets have refilled since `started_at`, when this gateway started;
-    /// `max_units` is the size of the largest request.
+    /// A tenant whose first request has just arrived. Its buckets have been refilling since this gateway
+    /// started at `started_at`. `max_units` is the size of the largest request.
     pub(super) fn new(
         plan: Plan,
         gateway_count: f64,
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Whether there is a quota, and so something to count.
+    /// Whether the plan has a quota, so that the tenant's units have to be counted.
     pub(super) fn has_quota(&self) -> bool {
         self.plan.rate > 0.0
     }
@@ -78,7 +82,7 @@
         self.last_seen = now;
     }
 
-    /// Ages the sliding window and refills the token buckets.
+    /// Advances the sliding window and refills the token buckets up to `now`.
     pub(super) fn advance_to(&mut self, now: Millis) {
         let seconds = (now - self.refilled_at).max(0.0) / 1000.0;
         self.refilled_at = now;
@@ -88,7 +92,7 @@
         self.ceiling.refill(seconds);
     }
 
-    /// Counts a request that was forwarded or declined here. `max_cache_age` as of
+    /// Counts a request that this gateway forwarded or did not forward. For `max_cache_age` see
     /// [`CounterHealth::max_cache_age`](super::counter_health::CounterHealth::max_cache_age).
     pub(super) fn record(
         &mut self,
@@ -113,25 +117,27 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// Whether this gateway's part of the plan's limit on attempts in flight is used up. Each keeps to a fair
-    /// part, at least one attempt: that holds a limit of one attempt a gateway or more though the gateways
-    /// cannot hear each other. A tenant that gathers on one gateway waits for a slot.
+    /// Whether this gateway's part of the plan's limit on attempts in flight is used up. Each gateway allows
+    /// an equal part of the limit, but at least one attempt. The gateways together therefore keep any limit
+    /// of at least one attempt per gateway without communicating. The cost is that a tenant whose requests
+    /// arrive at one gateway has to wait until one of its attempts there ends.
     pub(super) fn is_at_in_flight_limit(&self) -> bool {
         let limit = self.plan.max_in_flight;
         limit > 0.0 && self.in_flight >= (limit / self.gateway_count).floor().max(1.0)
     }
 
-    /// When a rejected request of so many units may be admitted, ms from now.
+    /// Time until a rejected request of `units` may be admitted, ms.
     pub(super) fn time_until_admission(&self, units: f64) -> Millis {
         let missing = match &self.usage {
             Usage::LowTraffic(_) => units,
-            Usage::Batched(usage) => usage.units_short_of(units),
+            Usage::Batched(usage) => usage.missing_units(units),
         };
         let refill = if self.has_quota() { 1000.0 * missing / self.plan.rate } else { 0.0 };
         refill.max(self.ceiling.time_until_available(units))
     }
 
-    /// Nothing is left to remember of a tenant that has not come for so long.
+    /// Whether the tenant's state can be dropped: the tenant has been idle for long enough, its buckets have
+    /// refilled, and none of its attempts or counter calls is in flight.
     pub(super) fn is_evictable(&self, now: Millis) -> bool {
         let quota_refill = if self.has_quota() { 1000.0 * self.plan.burst / self.plan.rate } else { 0.0 };
         let rest = quota_refill.max(self.ceiling.refill_time()).max(EVICT_IDLE_AFTER);
