--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of one gateway: rate, burst, requests in flight and hard ceilings.
+//! Quota admission of one gateway: rate, burst, limits on attempts in flight, and hard ceilings.
 
 use crate::rig::{settings, Actions, Received, Rig, TIME_LEFT};
 use crate::simulation::{complete_list, counter_answered, counter_failed, ready_endpoints};
@@ -9,16 +9,16 @@
 use rate_limiting_gateway::settings::{Plan, Settings};
 
 #[test]
-fn requests_within_the_quota_pass_and_none_beyond_the_hard_limit() {
+fn requests_within_the_quota_are_forwarded_and_none_beyond_the_hard_limit() {
     let mut rig = Rig::new(settings(), 4);
     assert_eq!(rig.burst(1000.0, 10), 10);
-    // Between the quota and the hard limit chance decides.
+    // Between the quota and the hard limit, requests are rejected with a probability.
     rig.burst(1000.0, 10);
     assert_eq!(rig.burst(1000.0, 50), 0);
 }
 
 #[test]
-fn the_usage_of_other_gateways_counts() {
+fn units_forwarded_by_other_gateways_count_towards_the_quota() {
     let mut rig = Rig::new(settings(), 4);
     let call = rig.request(1000.0).actions.counter_call();
     rig.handle(1002.0, counter_answered(call.key, 2.0, 100.0));
@@ -26,24 +26,24 @@
 }
 
 #[test]
-fn the_refill_of_the_bucket_passes_though_the_window_is_full() {
+fn requests_within_the_bucket_refill_are_forwarded_while_the_window_is_full() {
     let mut rig = Rig::new(settings(), 4);
     assert_eq!(rig.burst(1000.0, 9), 9);
-    // 0.8 s later the window still holds nine, and the bucket has four more tokens.
+    // 0.8 s later the window still holds nine units, and the bucket has been refilled with four tokens.
     assert!(rig.burst(1800.0, 4) >= 3);
 }
 
 #[test]
-fn between_the_quota_and_the_hard_limit_rejections_follow_the_factor() {
+fn between_the_quota_and_the_hard_limit_requests_are_rejected_with_the_computed_probability() {
     const SEEDS: u64 = 400;
-    // 10 units of quota, 10.2 observed: the factor is 1 - 5 / 10.2 over the last second. The hard limit is
-    // 10.5.
+    // With 10.2 units in the last second and a rate of 5 units per second, the probability of a
+    // rejection is 1 - 5 / 10.2. The quota is 10 units and the hard limit 10.5.
     let forwarded = (0..SEEDS).filter(|seed| last_of_four_is_forwarded(*seed)).count();
     let share = forwarded as f64 / SEEDS as f64;
-    assert!((0.40..0.58).contains(&share), "forwarded {share}");
+    assert!((0.40..0.58).contains(&share), "a share of {share} of the requests was forwarded");
 }
 
-/// Whether a request of one unit passes after 10.2 units.
+/// Whether a gateway forwards a request of one unit after requests of 10.2 units.
 fn last_of_four_is_forwarded(seed: u64) -> bool {
     let mut gateway = Gateway::new(Settings { counter: false, ..settings() }, seed);
     let mut actions = Vec::new();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_plan_without_a_rate_passes_and_calls_no_counter() {
+fn requests_of_a_plan_without_a_rate_are_forwarded_without_counter_calls() {
     let mut settings = settings();
     settings.plans[0].rate = 0.0;
     let mut rig = Rig::new(settings, 4);
@@ -66,25 +66,25 @@
     assert!(rig.request(1001.0).actions.counter_calls().is_empty());
 }
 
-/// Found on a bench day: estimates of the other gateways' attempts let 4% of the units pass beyond a quota of
-/// requests in flight.
+/// Estimating the attempts of other gateways let 4% of the units exceed the limit on attempts in flight. Each
+/// gateway therefore keeps to a fixed share of the limit.
 #[test]
-fn a_quota_of_requests_in_flight_queues_what_exceeds_the_gateways_share() {
+fn a_request_beyond_the_gateways_share_of_the_in_flight_limit_is_queued_until_an_attempt_ends() {
     let mut settings = settings();
     settings.plans[0].max_in_flight = 6.0;
     let mut rig = Rig::new(settings, 4);
     let first = rig.request(1000.0);
     let second = rig.request(1000.0);
     let third = rig.request(1000.0);
-    let server = first.actions.forwarded_to().expect("forwarded");
+    let server = first.actions.forwarded_to().expect("the first request was not forwarded");
     assert!(second.actions.is_forwarded());
-    assert!(third.actions.is_queued(), "neither forwarded nor rejected");
+    assert!(third.actions.is_queued(), "the third request was forwarded or rejected");
     let after = rig.end_attempt(1050.0, first.id, server, Outcome::Ok);
     assert!(after.0.iter().any(|action| matches!(action, Action::Forward { id, .. } if *id == third.id)));
 }
 
-/// The counter answers nothing, and three gateways start without memory. A hard ceiling holds all the same,
-/// because each gateway has its own part of it.
+/// Every counter call fails, and three gateways start without any state. The hard ceiling still holds,
+/// because each gateway enforces its own part of it.
 #[test]
 fn a_ceiling_holds_without_a_counter_and_through_a_restart() {
     let mut settings = settings();
@@ -100,11 +100,11 @@
             forwarded += rig.burst(now, 1);
         }
     }
-    assert!(forwarded <= 20 + 10 + 2, "{forwarded} units in a second by three gateways");
+    assert!(forwarded <= 20 + 10 + 2, "three gateways forwarded {forwarded} units in a second");
 }
 
-/// A gateway's part of the ceiling is two tokens, and another takes 5 s. A request beyond it cannot be served
-/// in time: queueing it until its deadline would help nobody.
+/// A gateway's part of the ceiling is a bucket of two tokens, and one token takes 5 s to refill. A third
+/// request cannot be forwarded before its deadline, so queueing it would only delay the rejection.
 #[test]
 fn a_request_beyond_the_gateways_part_of_a_ceiling_is_rejected_at_once_with_a_retry_after() {
     for gateways in [3.0, 300.0] {
@@ -112,22 +112,26 @@
         let request = || Request { gateway_count: gateways, ..Request::default() };
         let first = rig.request_like(60_000.0, request());
         let second = rig.request_like(60_000.0, request());
-        assert!(first.actions.is_forwarded() && second.actions.is_forwarded(), "the bucket is full at first");
+        assert!(
+            first.actions.is_forwarded() && second.actions.is_forwarded(),
+            "a request within the full bucket was not forwarded"
+        );
         let third = rig.request_like(60_000.0, request()).actions;
-        assert!(!third.is_forwarded() && third.is_rejected(), "queued though nothing can come of it");
+        assert!(!third.is_forwarded() && third.is_rejected(), "the third request was not rejected at once");
         let retry_after = third.retry_after();
         assert!(
             retry_after.is_some_and(|after| (4900.0..5100.0).contains(&after)),
-            "to be retried after {retry_after:?} ms"
+            "Retry-After is {retry_after:?} ms instead of about 5 s"
         );
-        // What the bucket will hold soon enough is waited for.
+        // A request is queued if the bucket refills in time.
         let Received { actions, .. } = rig.request_like(64_900.0, request());
-        assert!(actions.is_queued(), "not queued for 100 ms");
+        assert!(actions.is_queued(), "a request was not queued although the bucket refills in 100 ms");
         assert!(rig.timer(65_010.0).is_forwarded());
     }
 }
 
-/// A plan whose ceiling allows each gateway 0.2 requests a second and a burst of two, and a quota just below.
+/// One plan whose ceiling allows each gateway 0.2 requests per second and a burst of two, with a quota
+/// slightly below the ceiling.
 fn ceiling_settings(gateways: f64) -> Settings {
     let (ceiling_rate, ceiling_burst) = (0.2 * gateways, 2.0 * gateways);
     let plan = Plan {
@@ -147,10 +151,10 @@
     }
 }
 
-/// Found on a day with a hundred gateways: most met a tenant for the first time with an empty part of its
-/// ceiling, and rejected it.
+/// In a fleet of a hundred gateways, most gateways started a new tenant with an empty part of its ceiling and
+/// rejected its first request.
 #[test]
-fn a_gateways_part_of_a_ceiling_is_full_when_its_tenant_first_comes() {
+fn a_gateways_part_of_a_ceiling_has_refilled_before_the_tenants_first_request() {
     let plan = Plan {
         rate: 3.0,
         burst: 5.0,
@@ -160,9 +164,9 @@
         ..Plan::default()
     };
     let mut rig = Rig::new(Settings { plans: vec![plan], counter: false, ..settings() }, 4);
-    assert!(rig.request(5000.0).actions.is_forwarded(), "the first of a tenant passes");
+    assert!(rig.request(5000.0).actions.is_forwarded(), "the tenant's first request was not forwarded");
     let later = rig.burst(5000.0, 20);
-    assert!(later <= 3, "{later} more of a third of the ceiling's bucket of 12");
+    assert!(later <= 3, "{later} more requests were forwarded, beyond a third of the ceiling's burst of 12");
 }
 
 #[test]
