--- a/src/policy/candidate_set.rs
+++ b/src/policy/candidate_set.rs
@@ -1,81 +1,84 @@
-//! The servers that an attempt may go to, from the front of the gateway's order up to a number of them.
+//! The servers that an attempt may be sent to: the first eligible servers in the gateway's order, up to a
+//! maximum number.
 
-use super::endpoint_block::{bits_below, positions_of, BLOCK_CAPACITY};
+use super::endpoint_block::{bit_indices, bits_below, BLOCK_CAPACITY};
 use super::endpoint_index::EndpointPosition;
 
-/// One server of the set.
+/// A server that an attempt may be sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
     pub(super) position: EndpointPosition,
-    /// Number of the server in the whole order, candidate or not.
+    /// Index of the server in the gateway's whole order, which includes servers that are not candidates.
     pub(super) rank: usize,
 }
 
 /// The candidates of one block.
-struct Run {
+struct BlockCandidates {
     block: usize,
+    /// Bit mask of the slots of the candidates.
     members: u64,
-    /// Rank of the block's first server.
+    /// Rank of the first server in the block.
     first_rank: usize,
 }
 
-/// A set of candidates; its memory is used again for the next one.
+/// The candidates of one selection. The allocation is reused for the next selection.
 #[derive(Default)]
 pub(super) struct CandidateSet {
     max_size: usize,
     len: usize,
-    servers_passed: usize,
-    runs: Vec<Run>,
+    servers_scanned: usize,
+    blocks: Vec<BlockCandidates>,
 }
 
 impl CandidateSet {
-    /// Starts an empty set that takes `max_size` servers at most.
-    pub(super) fn begin(&mut self, max_size: usize) {
+    /// Empties the set and limits it to `max_size` servers.
+    pub(super) fn reset(&mut self, max_size: usize) {
         self.max_size = max_size;
         self.len = 0;
-        self.servers_passed = 0;
-        self.runs.clear();
+        self.servers_scanned = 0;
+        self.blocks.clear();
     }
 
     pub(super) fn len(&self) -> usize {
         self.len
     }
 
-    /// How many more it takes.
+    /// How many more servers fit into the set.
     pub(super) fn remaining(&self) -> usize {
         self.max_size - self.len
     }
 
-    /// Servers of the order that were passed, up to the last one that was wanted.
-    pub(super) fn servers_passed(&self) -> usize {
-        self.servers_passed
+    /// Number of servers scanned in the gateway's order: up to the last candidate if the set is full,
+    /// otherwise all servers of the blocks added.
+    pub(super) fn servers_scanned(&self) -> usize {
+        self.servers_scanned
     }
 
-    /// Takes these members of a block of `block_len` servers, the first ones if it does not take all.
+    /// Adds the `members` of a block of `block_len` servers. If not all of them fit, adds the first ones.
     pub(super) fn add(&mut self, block: usize, mut members: u64, block_len: usize) {
         if members.count_ones() as usize > self.remaining() {
-            let first_left_out = positions_of(members).nth(self.remaining());
-            members = first_left_out.map_or(members, |position| members & bits_below(position));
+            let first_excluded = bit_indices(members).nth(self.remaining());
+            members = first_excluded.map_or(members, |slot| members & bits_below(slot));
         }
         if members != 0 {
-            self.runs.push(Run { block, members, first_rank: self.servers_passed });
+            self.blocks.push(BlockCandidates { block, members, first_rank: self.servers_scanned });
         }
         self.len += members.count_ones() as usize;
-        self.servers_passed +=
+        self.servers_scanned +=
             if self.remaining() > 0 { block_len } else { BLOCK_CAPACITY - members.leading_zeros() as usize };
     }
 
-    /// All of them, in order.
+    /// All candidates, in the gateway's order.
     pub(super) fn iter(&self) -> impl Iterator<Item = Candidate> + '_ {
-        self.runs.iter().flat_map(|run| positions_of(run.members).map(|slot| run.candidate(slot)))
+        self.blocks.iter().flat_map(|block| bit_indices(block.members).map(|slot| block.candidate(slot)))
     }
 
-    /// One of them, counted from 0.
+    /// The candidate at `index`, counted from 0.
     pub(super) fn nth(&self, mut index: usize) -> Option<Candidate> {
-        for run in &self.runs {
-            let size = run.members.count_ones() as usize;
+        for block in &self.blocks {
+            let size = block.members.count_ones() as usize;
             if index < size {
-                return positions_of(run.members).nth(index).map(|slot| run.candidate(slot));
+                return bit_indices(block.members).nth(index).map(|slot| block.candidate(slot));
             }
             index -= size;
         }
@@ -83,7 +86,7 @@
     }
 }
 
-impl Run {
+impl BlockCandidates {
     fn candidate(&self, slot: usize) -> Candidate {
         let position = EndpointPosition { block: self.block, slot };
         Candidate { position, rank: self.first_rank + slot }
--- a/src/policy/endpoint_block.rs
+++ b/src/policy/endpoint_block.rs
@@ -1,76 +1,81 @@
-//! A run of consecutive servers of the index, with a bit mask for each question that a search asks of them.
+//! A block of consecutive servers of the index, with a bit mask for each property that a search filters by.
 
 use super::endpoint_health::{HealthState, TrackedEndpoint};
 
-/// Servers that a block holds at most: the bits of a mask.
+/// Maximum number of servers in a block: the number of bits in a mask.
 pub(super) const BLOCK_CAPACITY: usize = u64::BITS as usize;
-/// A full block keeps this many when it is split, and neighbours that hold no more together become one block.
+/// Number of servers that a full block keeps when it is split. Two neighbouring blocks are merged when they
+/// hold no more than this together.
 pub(super) const MERGE_SIZE: usize = BLOCK_CAPACITY / 2;
 
-/// What servers have in common.
+/// A zone or a cell, as a property that servers share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Locality {
-    /// They stand in one zone.
+    /// The servers are in this zone.
     Zone(u16),
-    /// They stand in one cell.
+    /// The servers are in this cell.
     Cell(u16),
 }
 
-/// The servers of one locality in a block.
+/// The servers of a block that are in one locality.
 #[derive(Clone)]
 pub(super) struct LocalityMask {
     pub(super) locality: Locality,
+    /// Bit mask of the servers' slots.
     pub(super) members: u64,
 }
 
-/// A server and how it is kept.
+/// A server of a block and what the index stores with it.
 #[derive(Default)]
 pub(super) struct Slot {
-    pub(super) server: TrackedEndpoint,
-    /// Position in the gateway's own order of servers.
+    pub(super) tracked: TrackedEndpoint,
+    /// Sort key of the server in the gateway's own order.
     pub(super) key: u64,
     pub(super) health: HealthState,
-    /// When time alone may change the health, as the bits of the time.
+    /// The next time at which the health may change without an event, as the bits of that time.
     pub(super) next_transition: Option<u64>,
-    /// The last list that named it.
-    pub(super) listed_in: u32,
+    /// Generation of the complete list that was current when an update last listed the server.
+    pub(super) list_generation: u32,
 }
 
-/// Consecutive servers of the order. Bit `i` of each mask stands for the server at `i`.
+/// Consecutive servers of the gateway's order. Bit `i` of each mask belongs to the server at slot `i`.
 #[derive(Default)]
 pub(super) struct Block {
-    /// Key of the first server.
+    /// Sort key of the first server.
     pub(super) first_key: u64,
-    /// Ready, not paused and healthy.
-    pub(super) healthy: u64,
-    /// Ready and not paused, not healthy, but reachable.
-    pub(super) unhealthy: u64,
-    /// In slow start.
-    pub(super) cold: u64,
-    /// Ordered by locality; none is empty.
+    /// Servers that are ready, not paused and healthy.
+    pub(super) available: u64,
+    /// Servers that are ready, not paused and reachable, but not healthy.
+    pub(super) unhealthy_reachable: u64,
+    /// Servers in slow start.
+    pub(super) slow_starting: u64,
+    /// Masks of the localities, sorted by locality. No mask is empty.
     pub(super) localities: Vec<LocalityMask>,
     pub(super) slots: Vec<Slot>,
 }
 
 impl Block {
+    /// All masks of the block.
     fn masks(&mut self) -> impl Iterator<Item = &mut u64> {
         let localities = self.localities.iter_mut().map(|locality| &mut locality.members);
-        [&mut self.healthy, &mut self.unhealthy, &mut self.cold].into_iter().chain(localities)
+        [&mut self.available, &mut self.unhealthy_reachable, &mut self.slow_starting]
+            .into_iter()
+            .chain(localities)
     }
 
     fn search_locality(&self, locality: Locality) -> Result<usize, usize> {
         self.localities.binary_search_by_key(&locality, |mask| mask.locality)
     }
 
-    /// The servers of a locality.
+    /// Bit mask of the servers in a locality.
     pub(super) fn members_of(&self, locality: Locality) -> u64 {
-        self.search_locality(locality).map_or(0, |found| self.localities[found].members)
+        self.search_locality(locality).map_or(0, |index| self.localities[index].members)
     }
 
     fn add_to_locality(&mut self, locality: Locality, members: u64) {
         match self.search_locality(locality) {
-            Ok(found) => self.localities[found].members |= members,
-            Err(position) => self.localities.insert(position, LocalityMask { locality, members }),
+            Ok(index) => self.localities[index].members |= members,
+            Err(index) => self.localities.insert(index, LocalityMask { locality, members }),
         }
     }
 
@@ -78,9 +83,9 @@
         self.localities.retain(|locality| locality.members != 0);
     }
 
-    /// Moves the server at `slot` to the localities of its entry.
+    /// Sets the locality bits of the server at `slot` to the zone and cell of its list entry.
     pub(super) fn update_localities(&mut self, slot: usize) {
-        let endpoint = &self.slots[slot].server.endpoint;
+        let endpoint = &self.slots[slot].tracked.endpoint;
         let localities = [Locality::Zone(endpoint.zone), Locality::Cell(endpoint.cell)];
         let bit = 1 << slot;
         if localities.iter().all(|locality| self.members_of(*locality) & bit != 0) {
@@ -95,13 +100,13 @@
         self.drop_empty_localities();
     }
 
-    /// Sets the bits of the server at `slot` by its health.
+    /// Sets the health bits of the server at `slot` from its stored health.
     pub(super) fn update_health_bits(&mut self, slot: usize) {
         let health = self.slots[slot].health;
-        let takes_requests = health.ready && !health.paused;
+        let accepts_requests = health.ready && !health.paused;
         let bits = [
-            takes_requests && health.healthy,
-            takes_requests && !health.healthy && health.reachable,
+            accepts_requests && health.healthy,
+            accepts_requests && !health.healthy && health.reachable,
             !health.warm,
         ];
         for (mask, bit) in self.masks().zip(bits) {
@@ -109,17 +114,17 @@
         }
     }
 
-    /// Inserts a server before the one at `slot`.
-    pub(super) fn insert(&mut self, slot: usize, server: Slot) {
+    /// Inserts a server at `slot` and moves the servers from `slot` on up by one.
+    pub(super) fn insert(&mut self, slot: usize, new_slot: Slot) {
         for mask in self.masks() {
             *mask = *mask & bits_below(slot) | (*mask & !bits_below(slot)) << 1;
         }
-        self.slots.insert(slot, server);
+        self.slots.insert(slot, new_slot);
         self.first_key = self.slots[0].key;
         self.update_health_bits(slot);
     }
 
-    /// Removes a server. The block may be empty then.
+    /// Removes the server at `slot`, which may leave the block empty.
     pub(super) fn remove(&mut self, slot: usize) {
         self.slots.remove(slot);
         for mask in self.masks() {
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Splits off the servers from [`MERGE_SIZE`] on.
+    /// Moves the servers from slot [`MERGE_SIZE`] on to a new block and returns that block.
     pub(super) fn split_off(&mut self) -> Block {
         let slots = self.slots.split_off(MERGE_SIZE);
         let mut upper =
@@ -145,12 +150,12 @@
         upper
     }
 
-    /// Appends the servers of the block behind this one.
+    /// Appends the servers of `upper`, the block that follows this one in the order.
     pub(super) fn append(&mut self, mut upper: Block) {
         let shift = self.slots.len();
-        self.healthy |= upper.healthy << shift;
-        self.unhealthy |= upper.unhealthy << shift;
-        self.cold |= upper.cold << shift;
+        self.available |= upper.available << shift;
+        self.unhealthy_reachable |= upper.unhealthy_reachable << shift;
+        self.slow_starting |= upper.slow_starting << shift;
         for mask in &upper.localities {
             self.add_to_locality(mask.locality, mask.members << shift);
         }
@@ -158,16 +163,16 @@
     }
 }
 
-/// The bits below bit `position`.
-pub(super) fn bits_below(position: usize) -> u64 {
-    1u64.checked_shl(position as u32).map_or(u64::MAX, |bit| bit - 1)
+/// A mask of the bits below the bit at `index`.
+pub(super) fn bits_below(index: usize) -> u64 {
+    1u64.checked_shl(index as u32).map_or(u64::MAX, |bit| bit - 1)
 }
 
-/// The positions of the bits that are set, from the lowest.
-pub(super) fn positions_of(mut bits: u64) -> impl Iterator<Item = usize> {
+/// The indices of the bits that are set, from the lowest to the highest.
+pub(super) fn bit_indices(mut bits: u64) -> impl Iterator<Item = usize> {
     std::iter::from_fn(move || {
-        let position = (bits != 0).then(|| bits.trailing_zeros() as usize)?;
+        let index = (bits != 0).then(|| bits.trailing_zeros() as usize)?;
         bits &= bits - 1;
-        Some(position)
+        Some(index)
     })
 }
--- a/src/policy/endpoint_health.rs
+++ b/src/policy/endpoint_health.rs
@@ -1,56 +1,59 @@
-//! Outlier ejection and what else is learned of one server from the attempts sent to it.
+//! Outlier ejection, and what this gateway's attempts show about the health and response time of one server.
 
 use super::mean_latency::MeanLatency;
 use super::slow_start::{SlowStart, SlowStartTokens};
 use crate::event::{Endpoint, EndpointState, Outcome};
 use crate::ids::Millis;
 
-/// Gain of a response time in a server's mean: about the last ten count.
+/// Weight of a new response time in a server's moving average, which thus covers about the last ten.
 const LATENCY_GAIN: f64 = 0.1;
-/// The same for an attempt that timed out or was cancelled, where samples are few: it may be the only sign of
-/// a server that has become slow.
-const ABANDONED_GAIN: f64 = 0.4;
-/// Consecutive failures that eject a server.
+/// Weight of an attempt that timed out or was cancelled, if samples are rare: such an attempt may be the only
+/// sign that the server has become slow.
+const UNANSWERED_LATENCY_GAIN: f64 = 0.4;
+/// Number of consecutive failures after which a server is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// First ejection, ms; each further one takes twice as long ...
+/// Duration of a server's first ejection, in ms. Each further ejection lasts twice as long as the one before,
+/// until the server succeeds again.
 const BASE_EJECTION_TIME: Millis = 1000.0;
-/// ... up to two to this power.
+/// Maximum number of times that the duration of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Ejections last this many times longer where a server is met every few seconds only: they have to outlast
-/// the time between two requests to it.
+/// Factor on the duration of an ejection if samples are rare. A server then gets a request of this gateway
+/// only every few seconds, and an ejection has to last longer than the time between two requests.
 const SUBSET_EJECTION_FACTOR: f64 = 3.0;
-/// A server that rejected a request for lack of capacity is passed over for this long, ms ...
+/// Time for which a server that rejected a request for lack of capacity gets no further requests, in ms.
 const REJECTION_PAUSE: Millis = 100.0;
-/// ... and this many times longer where it is met every few seconds only.
+/// Factor on [`REJECTION_PAUSE`] if samples are rare, as a server then gets a request only every few seconds.
 const SUBSET_PAUSE_FACTOR: f64 = 20.0;
 
-/// How a server counts in the index at a time.
+/// Health of a server at a point in time, as the index uses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct HealthState {
-    /// The list says that it takes requests.
+    /// The endpoint list says that the server takes requests.
     pub(super) ready: bool,
-    /// It has just rejected a request.
+    /// The server gets no requests because it has just rejected one for lack of capacity.
     pub(super) paused: bool,
-    /// It is not ejected.
+    /// The server is not ejected and, unless it has succeeded since its last ejection, has no attempt of this
+    /// gateway in flight.
     pub(super) healthy: bool,
-    /// Its last failure, if it has not succeeded since, was neither a failed connect nor a reset.
+    /// The server's last failure was neither a failed connect nor a reset, or it has succeeded since.
     pub(super) reachable: bool,
-    /// Its slow start is over.
+    /// The server's slow start is over.
     pub(super) warm: bool,
 }
 
-/// One server of the list and what is known of it.
+/// A server of the endpoint list and what this gateway has recorded about it.
 #[derive(Default)]
 pub(super) struct TrackedEndpoint {
     pub(super) endpoint: Endpoint,
-    /// Attempts of this gateway in flight at it.
+    /// Number of this gateway's attempts in flight to the server.
     in_flight: f64,
     mean_latency: MeanLatency,
-    /// When the mean last changed; `None` until its first list entry has been taken in.
+    /// When the mean latency last changed. `None` until the first list entry is applied.
     last_sample_at: Option<Millis>,
     consecutive_failures: u32,
+    /// The last failure was a failed connect or a reset, with no success since.
     unreachable: bool,
-    /// Ejections since the last success.
+    /// Number of ejections since the last success.
     ejections: u32,
     ejected_until: Option<Millis>,
     paused_until: Option<Millis>,
@@ -58,8 +61,8 @@
 }
 
 impl TrackedEndpoint {
-    /// Takes in its entry of the list. After a restart all that was known is void, but attempts at the old
-    /// process still have to end; `fleet_latency` is the mean that it starts with.
+    /// Applies the server's list entry. A new or restarted server starts with `fleet_latency` as its mean and
+    /// without the earlier records, except for the attempts to the old process that are still in flight.
     pub(super) fn update(&mut self, now: Millis, endpoint: Endpoint, fleet_latency: MeanLatency) {
         let restarted = self.endpoint.started != endpoint.started;
         if self.last_sample_at.is_none() || restarted {
@@ -78,12 +81,12 @@
         self.in_flight
     }
 
-    /// Mean response time, ms, if there is one.
+    /// Mean response time of the server, in ms, if there is one.
     pub(super) fn mean_latency(&self) -> Option<Millis> {
         self.mean_latency.get()
     }
 
-    /// Time since the mean last changed, ms.
+    /// Time since the mean response time last changed, in ms.
     pub(super) fn sample_age(&self, now: Millis) -> Millis {
         self.last_sample_at.map_or(now, |at| now - at).max(0.0)
     }
@@ -93,8 +96,8 @@
         self.slow_start_tokens.spend();
     }
 
-    /// Takes the end of an attempt as evidence. `samples_are_rare` where the server is met every few seconds
-    /// only.
+    /// Updates the records with the result of an attempt. `samples_are_rare` says that this gateway sends the
+    /// server a request only every few seconds.
     pub(super) fn record_outcome(
         &mut self,
         now: Millis,
@@ -122,7 +125,8 @@
         self.record_latency(now, outcome, elapsed, samples_are_rare);
     }
 
-    /// A server that fails at once looks fast. Where it is met rarely, the first such failure has to do.
+    /// Counts a failure and ejects the server after enough consecutive failures. A server that fails quickly
+    /// looks fast, so if samples are rare, its first failure that is not a timeout ejects it.
     fn record_failure(&mut self, now: Millis, outcome: Outcome, samples_are_rare: bool) {
         self.unreachable = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
         let fails_fast = outcome != Outcome::TimedOut;
@@ -135,31 +139,33 @@
         }
     }
 
-    /// An attempt that was cancelled took at least this long; one that ended early tells nothing of speed.
+    /// Adds the duration of an attempt to the mean. A cancelled attempt would have taken at least `elapsed`,
+    /// so it counts if `elapsed` is above the mean. An attempt that failed early shows nothing about the
+    /// server's response time.
     fn record_latency(&mut self, now: Millis, outcome: Outcome, elapsed: Millis, samples_are_rare: bool) {
         let slow_when_cancelled =
             outcome == Outcome::Cancelled && elapsed > self.mean_latency.get().unwrap_or(0.0);
         if !slow_when_cancelled && !matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
             return;
         }
-        let abandoned = outcome != Outcome::Ok;
-        let gain = if abandoned && samples_are_rare { ABANDONED_GAIN } else { LATENCY_GAIN };
+        let is_unanswered = outcome != Outcome::Ok;
+        let gain = if is_unanswered && samples_are_rare { UNANSWERED_LATENCY_GAIN } else { LATENCY_GAIN };
         self.mean_latency.record(elapsed, gain);
         self.last_sample_at = Some(now);
     }
 
-    /// How it counts now, and when time alone may change that.
+    /// The server's health now, and the next time at which it may change without an event.
     pub(super) fn health(&self, now: Millis, slow_start: &SlowStart) -> (HealthState, Option<Millis>) {
         let paused_until = self.paused_until.filter(|until| *until > now);
         let ejected_until = self.ejected_until.filter(|until| *until > now);
         let started = self.endpoint.started;
         let warm_at = (!slow_start.is_warm(now, started)).then(|| slow_start.warm_at(started));
-        // With attempts still out there is no sign yet that its failures have ended.
-        let has_recovered = self.consecutive_failures < FAILURES_TO_EJECT || self.in_flight < 1.0;
+        // While attempts are in flight after an ejection, nothing shows yet that the failures have ended.
+        let may_have_recovered = self.consecutive_failures < FAILURES_TO_EJECT || self.in_flight < 1.0;
         let state = HealthState {
             ready: self.endpoint.state == EndpointState::Ready,
             paused: paused_until.is_some(),
-            healthy: ejected_until.is_none() && has_recovered,
+            healthy: ejected_until.is_none() && may_have_recovered,
             reachable: !self.unreachable,
             warm: warm_at.is_none(),
         };
--- a/src/policy/endpoint_index.rs
+++ b/src/policy/endpoint_index.rs
@@ -1,45 +1,47 @@
-//! The servers of the list in a gateway's own order, in blocks with bit masks and counts that are kept up by
-//! changes, so that a search passes up to 64 servers at a time. It holds no rule: how a server counts, and
-//! until when, its caller says.
+//! Index of the listed servers in the gateway's own order. The index keeps counts, and its blocks keep bit
+//! masks, which every change updates, so that a search can skip up to 64 servers at a time. It contains no
+//! health rules: the caller sets each server's health and the next time at which that health may change.
 
 use super::endpoint_block::{Block, Slot, BLOCK_CAPACITY, MERGE_SIZE};
 use super::endpoint_health::{HealthState, TrackedEndpoint};
 use crate::ids::{Millis, ServerId};
 use std::collections::BTreeSet;
 
-/// Multiplier of the hash that gives each gateway an order of its own: the golden ratio.
+/// Multiplier of the hash that gives each gateway its own order of servers: 2^64 divided by the golden ratio.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 const HASH_ROTATION: u32 = 29;
 
-/// Where a server is; valid until a server is inserted or removed.
+/// Position of a server in the index. It is valid until a server is inserted or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct EndpointPosition {
     pub(super) block: usize,
     pub(super) slot: usize,
 }
 
-/// When time alone may change a server's health.
+/// The next time at which the health of a server may change without an event.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Transition {
-    /// Bits of the time, which order as it does.
+    /// The bits of the time, which sort in the same order as the time.
     at: u64,
-    /// The server's key.
+    /// Sort key of the server.
     key: u64,
 }
 
+/// The bits of a time; for times that are not negative, they sort in the same order as the times.
 fn time_bits(at: Millis) -> u64 {
     at.max(0.0).to_bits()
 }
 
-/// All servers of the list.
+/// Index of all servers of the endpoint list.
 pub(super) struct EndpointIndex {
-    /// Makes the order differ from gateway to gateway.
+    /// Mixed into the hash of the server ids, so that each gateway has a different order.
     salt: u64,
-    /// No block is empty.
+    /// Blocks in the gateway's order. No block is empty.
     pub(super) blocks: Vec<Block>,
+    /// The next health transition of each server that has one.
     transitions: BTreeSet<Transition>,
-    /// Number of the present complete list.
-    listing: u32,
+    /// Generation of the current complete list, which increases with each complete list.
+    list_generation: u32,
     len: usize,
     ready: usize,
     healthy: usize,
@@ -52,7 +54,7 @@
             salt,
             blocks: Vec::new(),
             transitions: BTreeSet::new(),
-            listing: 0,
+            list_generation: 0,
             len: 0,
             ready: 0,
             healthy: 0,
@@ -60,32 +62,32 @@
         }
     }
 
-    /// All servers.
+    /// Number of servers in the index.
     pub(super) fn len(&self) -> usize {
         self.len
     }
 
-    /// Servers that the list says take requests.
+    /// Number of servers that take requests according to the endpoint list.
     pub(super) fn ready(&self) -> usize {
         self.ready
     }
 
-    /// Servers that are not ejected.
+    /// Number of healthy servers, including those that take no requests.
     pub(super) fn healthy(&self) -> usize {
         self.healthy
     }
 
-    /// Servers whose slow start is over.
+    /// Number of servers whose slow start is over.
     pub(super) fn warm(&self) -> usize {
         self.warm
     }
 
-    /// A server's place in the order; no two servers share one.
+    /// Sort key of a server in the gateway's order. No two servers have the same key.
     fn key(&self, server: ServerId) -> u64 {
         (u64::from(server.0) ^ self.salt).wrapping_mul(GOLDEN_RATIO).rotate_left(HASH_ROTATION)
     }
 
-    /// Where a key is, or else where it would be inserted.
+    /// The position of a key, or the position at which it would be inserted.
     fn search(&self, key: u64) -> Result<EndpointPosition, EndpointPosition> {
         let block = self.blocks.partition_point(|block| block.first_key <= key).saturating_sub(1);
         let Some(candidate) = self.blocks.get(block) else {
@@ -104,21 +106,20 @@
     }
 
     pub(super) fn at(&self, position: EndpointPosition) -> &TrackedEndpoint {
-        &self.blocks[position.block].slots[position.slot].server
+        &self.blocks[position.block].slots[position.slot].tracked
     }
 
-    /// Changes that its health or localities follow from must be followed by [`EndpointIndex::set_health`]
-    /// and [`EndpointIndex::update_localities`].
+    /// Mutable access to a server. After a change that affects its health or localities, the caller has to
+    /// call [`EndpointIndex::set_health`] or [`EndpointIndex::update_localities`].
     pub(super) fn at_mut(&mut self, position: EndpointPosition) -> &mut TrackedEndpoint {
-        &mut self.blocks[position.block].slots[position.slot].server
+        &mut self.blocks[position.block].slots[position.slot].tracked
     }
 
-    /// Finds a server, or inserts one of which nothing is counted yet, and marks it as named by the present
-    /// list.
-    pub(super) fn enter(&mut self, server: ServerId) -> EndpointPosition {
+    /// Finds a server, or inserts it with default health, and marks it as part of the current complete list.
+    pub(super) fn find_or_insert(&mut self, server: ServerId) -> EndpointPosition {
         let key = self.key(server);
         let position = self.search(key).unwrap_or_else(|position| self.insert(key, position));
-        self.blocks[position.block].slots[position.slot].listed_in = self.listing;
+        self.blocks[position.block].slots[position.slot].list_generation = self.list_generation;
         position
     }
 
@@ -140,12 +141,13 @@
         EndpointPosition { block, slot }
     }
 
-    /// Moves a server to the zone and cell of its entry.
+    /// Updates the locality masks to the zone and cell of a server's list entry.
     pub(super) fn update_localities(&mut self, position: EndpointPosition) {
         self.blocks[position.block].update_localities(position.slot);
     }
 
-    /// Counts a server anew; `until` is when time alone may change its health.
+    /// Sets the health of a server and updates masks and counts. `until` is the next time at which the health
+    /// may change without an event.
     pub(super) fn set_health(
         &mut self,
         position: EndpointPosition,
@@ -160,9 +162,9 @@
         let old_transition = std::mem::replace(&mut slot.next_transition, transition);
         if old_health != health {
             block.update_health_bits(position.slot);
-            recount(&mut self.ready, old_health.ready, health.ready);
-            recount(&mut self.healthy, old_health.healthy, health.healthy);
-            recount(&mut self.warm, old_health.warm, health.warm);
+            adjust_count(&mut self.ready, old_health.ready, health.ready);
+            adjust_count(&mut self.healthy, old_health.healthy, health.healthy);
+            adjust_count(&mut self.warm, old_health.warm, health.warm);
         }
         if old_transition != transition {
             if let Some(at) = old_transition {
@@ -174,8 +176,9 @@
         }
     }
 
-    /// The servers whose health may have changed by now; they no longer wait for that.
-    pub(super) fn take_due(&mut self, now: Millis) -> Vec<EndpointPosition> {
+    /// Removes the transitions that are due at `now` and returns the positions of their servers, whose health
+    /// may have changed.
+    pub(super) fn take_due_transitions(&mut self, now: Millis) -> Vec<EndpointPosition> {
         let mut due = Vec::new();
         while let Some(transition) = self.transitions.first().filter(|first| first.at <= time_bits(now)) {
             let key = transition.key;
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Joins a block with the one behind it where both are small.
+    /// Merges a block with the next one if both together hold at most [`MERGE_SIZE`] servers.
     fn merge_with_next(&mut self, index: usize) {
         let Some(next) = self.blocks.get(index + 1) else { return };
         if self.blocks[index].slots.len() + next.slots.len() <= MERGE_SIZE {
@@ -214,23 +217,25 @@
         }
     }
 
-    /// Begins a complete list: servers not entered until [`EndpointIndex::remove_unlisted`] are not in it.
-    pub(super) fn begin_list(&mut self) {
-        self.listing = self.listing.wrapping_add(1);
+    /// Begins a complete list. The caller then passes each listed server to [`EndpointIndex::find_or_insert`]
+    /// and ends the list with [`EndpointIndex::remove_unlisted`].
+    pub(super) fn begin_complete_list(&mut self) {
+        self.list_generation = self.list_generation.wrapping_add(1);
     }
 
-    /// Ends a complete list.
+    /// Ends a complete list and removes the servers that were not in it.
     pub(super) fn remove_unlisted(&mut self) {
         let slots = self.blocks.iter().flat_map(|block| &block.slots);
         let unlisted: Vec<u64> =
-            slots.filter(|slot| slot.listed_in != self.listing).map(|slot| slot.key).collect();
+            slots.filter(|slot| slot.list_generation != self.list_generation).map(|slot| slot.key).collect();
         for key in unlisted {
             self.remove_key(key);
         }
     }
 }
 
-fn recount(count: &mut usize, before: bool, after: bool) {
+/// Updates a count for one server that was counted if `before` holds and is counted now if `after` holds.
+fn adjust_count(count: &mut usize, before: bool, after: bool) {
     *count = *count + usize::from(after) - usize::from(before);
 }
 
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -1,12 +1,15 @@
-//! The server that an attempt goes to: the cheapest by peak-sensitive response time and attempts in flight,
-//! of all servers, or of two at random (power of two choices) where this gateway keeps to a subset.
+//! Selects the server of an attempt: the one with the lowest cost, from its response time and its attempts in
+//! flight. The gateway compares all servers, or, if it uses only a subset of them, two random members of the
+//! subset (power of two choices).
 //!
-//! Guards of the subset: with many servers and little traffic, evidence of each comes too rarely to act on. A
-//! subset in an order of this gateway's own is met often enough, and of two members compared at random not
-//! all gateways take the same server at once. The cost is uneven shares.
+//! With many servers and little traffic, a gateway that used all servers would get results from each of them
+//! too rarely to judge its health. The gateway then uses a subset, the first servers in an order of its own,
+//! so that each member gets requests often enough. Comparing only two random members prevents all gateways
+//! from choosing the same server at the same time. The drawback is that servers get uneven shares of the
+//! traffic.
 
 use super::candidate_set::{Candidate, CandidateSet};
-use super::endpoint_block::{bits_below, positions_of, Locality};
+use super::endpoint_block::{bit_indices, bits_below, Locality};
 use super::endpoint_index::{EndpointIndex, EndpointPosition};
 use super::mean_latency::MeanLatency;
 use super::random::{uniform, IndexedDraws};
@@ -17,55 +20,56 @@
 use crate::settings::{DeduplicationScope, Idempotency};
 use rand_pcg::Pcg64Mcg;
 
-/// A gateway keeps to as many servers as it sends first attempts in this time, ms: it hears of each every few
-/// seconds, however many there are ...
-const SUBSET_SPAN: Millis = 3000.0;
-/// ... and to this many at least.
+/// The subset has as many servers as the gateway sends first attempts in this time, in ms. Each member thus
+/// gets a request every few seconds, however many servers there are.
+const SUBSET_TRAFFIC_WINDOW: Millis = 3000.0;
+/// Minimum number of servers in the subset.
 const MIN_SUBSET_SIZE: f64 = 8.0;
-/// Gain of a response time in the mean of all servers.
+/// Weight of a new response time in the moving average over all servers.
 const FLEET_LATENCY_GAIN: f64 = 0.02;
-/// Least mean response time of all servers that costs are computed with, ms.
+/// Lower bound, in ms, of the mean response time over all servers in the calculation of costs.
 const MIN_FLEET_LATENCY: Millis = 1.0;
-/// Time constant with which a server that is not heard of drifts back to the mean of all servers, ms.
-const LATENCY_DECAY: Millis = 4000.0;
-/// The drift is this many times slower with a subset, as samples are rarer.
+/// Time constant, in ms, with which the latency assumed for a server without new samples returns to the mean
+/// over all servers.
+const LATENCY_DECAY_TIME: Millis = 4000.0;
+/// Factor on [`LATENCY_DECAY_TIME`] if the gateway uses a subset, since samples are rarer then.
 const SUBSET_DECAY_FACTOR: f64 = 3.0;
-/// Share by which costs are varied at random, so that equal servers are taken in turn.
+/// Maximum share that is added to a cost at random, so that servers of equal cost share the traffic.
 const COST_JITTER: f64 = 0.1;
-/// Leaves room for rounding where a cost is bounded from below.
+/// Factor on the lower bound of a cost that allows for rounding errors.
 const ROUNDING_MARGIN: f64 = 0.999;
 
-/// Which servers a further attempt may go to.
+/// The servers that the next attempt of a request may be sent to.
 #[derive(Clone, Copy)]
 enum AllowedServers {
     All,
-    /// Those that share the idempotency keys of the server that may have executed the request.
+    /// The servers that share idempotency keys with the server that may have executed the request.
     SameLocality(Locality),
     None,
 }
 
-/// The cheapest server so far.
+/// The server with the lowest cost so far.
 #[derive(Clone, Copy)]
 struct Cheapest {
     cost: f64,
     server: Option<ServerId>,
 }
 
-/// All servers, and the choice among them.
+/// Tracks all listed servers and selects the server of each attempt.
 pub(super) struct EndpointSelector {
     index: EndpointIndex,
     slow_start: SlowStart,
-    /// Mean response time of all servers.
+    /// Mean response time over all servers.
     mean_latency: MeanLatency,
-    /// This gateway keeps to a subset of the servers.
+    /// Whether the last selection used only a subset of the servers.
     subset_active: bool,
-    /// The last set of candidates, kept for its memory.
+    /// The candidates of the last selection, kept to reuse the allocation.
     candidates: CandidateSet,
     endpoints_examined: u64,
 }
 
 impl EndpointSelector {
-    /// Knows no server; `salt` gives the gateway an order of servers of its own.
+    /// A selector without servers. `salt` gives each gateway a different order of servers.
     pub(super) fn new(salt: u64, slow_start: SlowStart) -> Self {
         EndpointSelector {
             index: EndpointIndex::new(salt),
@@ -77,35 +81,35 @@
         }
     }
 
-    /// Servers of the list.
+    /// Number of listed servers.
     pub(super) fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Whether the last selection kept to a subset of the servers.
+    /// Whether the last selection used only a subset of the servers.
     pub(super) fn subset_active(&self) -> bool {
         self.subset_active
     }
 
-    /// Servers, and blocks of up to 64 of them, that selections have looked at so far.
+    /// Number of servers and of blocks (of up to 64 servers) that all selections so far have examined.
     pub(super) fn endpoints_examined(&self) -> u64 {
         self.endpoints_examined
     }
 
-    // ---- List and evidence --------------------------------------------------------------------
+    // ---- List updates and attempt results -----------------------------------------------------
 
-    /// Takes in news of the list.
+    /// Applies an update of the endpoint list.
     pub(super) fn apply_endpoints(&mut self, now: Millis, update: EndpointUpdate, entries: Vec<Endpoint>) {
         let complete = update != EndpointUpdate::Incremental;
         if complete {
-            self.index.begin_list();
+            self.index.begin_complete_list();
         }
         for endpoint in entries {
             if endpoint.state == EndpointState::Removed {
                 self.index.remove(endpoint.server);
                 continue;
             }
-            let position = self.index.enter(endpoint.server);
+            let position = self.index.find_or_insert(endpoint.server);
             self.index.at_mut(position).update(now, endpoint, self.mean_latency);
             self.index.update_localities(position);
             self.refresh_health(now, position);
@@ -115,20 +119,21 @@
         }
     }
 
-    /// Counts a server by what is known of it now, until time alone changes that.
+    /// Updates the health of a server in the index, and the next time at which that health may change without
+    /// an event.
     fn refresh_health(&mut self, now: Millis, position: EndpointPosition) {
         let (health, until) = self.index.at(position).health(now, &self.slow_start);
         self.index.set_health(position, health, until);
     }
 
-    /// An attempt was sent to a server.
+    /// Records that an attempt was sent to a server.
     pub(super) fn record_forwarded(&mut self, now: Millis, server: ServerId) {
         let Some(position) = self.index.find(server) else { return };
         self.index.at_mut(position).attempt_started();
         self.refresh_health(now, position);
     }
 
-    /// Takes the end of an attempt that took `elapsed` ms as evidence of its server's health.
+    /// Records how an attempt ended after `elapsed` ms, which may change the health of its server.
     pub(super) fn record_outcome(
         &mut self,
         now: Millis,
@@ -146,7 +151,8 @@
 
     // ---- Selection ----------------------------------------------------------------------------
 
-    /// The cheapest server that the request may go to now; `send_rate` in first attempts per millisecond.
+    /// Selects the server with the lowest cost for the next attempt of the request. `send_rate` is this
+    /// gateway's rate of first attempts, per millisecond.
     pub(super) fn select(
         &mut self,
         now: Millis,
@@ -154,58 +160,60 @@
         send_rate: f64,
         rng: &mut Pcg64Mcg,
     ) -> Option<ServerId> {
-        for position in self.index.take_due(now) {
+        for position in self.index.take_due_transitions(now) {
             self.refresh_health(now, position);
         }
-        let subset_size = (send_rate * SUBSET_SPAN).max(MIN_SUBSET_SIZE);
+        let subset_size = (send_rate * SUBSET_TRAFFIC_WINDOW).max(MIN_SUBSET_SIZE);
         self.subset_active = subset_size < self.index.ready() as f64;
         let max_size = if self.subset_active { subset_size.ceil() as usize } else { usize::MAX };
         let candidates = self.collect_candidates(now, request, max_size, send_rate);
-        // Each server passed has a draw of its own, whether it is used or not.
+        // Each scanned server has its own draw, found by its rank, whether the server is compared or not.
         let mut draws = IndexedDraws::new(rng.clone());
-        rng.advance(candidates.servers_passed() as u128);
+        rng.advance(candidates.servers_scanned() as u128);
         let mut cheapest = Cheapest { cost: f64::INFINITY, server: None };
         if self.subset_active && candidates.len() > 2 {
-            for index in two_of(candidates.len(), rng) {
+            for index in two_random_indices(candidates.len(), rng) {
                 let Some(candidate) = candidates.nth(index) else { continue };
-                self.compare(now, candidate, &mut draws, &mut cheapest);
+                self.update_cheapest(now, candidate, &mut draws, &mut cheapest);
             }
         } else {
             for candidate in candidates.iter() {
-                self.compare(now, candidate, &mut draws, &mut cheapest);
+                self.update_cheapest(now, candidate, &mut draws, &mut cheapest);
             }
         }
         self.candidates = candidates;
         cheapest.server
     }
 
-    /// Which servers the idempotency of a request leaves for its next attempt.
+    /// The servers that the next attempt of a request may be sent to. This depends on the idempotency of its
+    /// class if a server may have executed an earlier attempt.
     fn allowed_servers(&self, request: &InFlightRequest) -> AllowedServers {
         let Some(first) = request.first_possible_execution() else { return AllowedServers::All };
-        let home = self.index.get(first.server).map(|server| &server.endpoint);
+        let first_endpoint = self.index.get(first.server).map(|tracked| &tracked.endpoint);
         let locality = match request.class.idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
                 return AllowedServers::All;
             }
             Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, .. } => {
-                home.map(|endpoint| Locality::Zone(endpoint.zone))
+                first_endpoint.map(|endpoint| Locality::Zone(endpoint.zone))
             }
             Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, .. } => {
-                home.map(|endpoint| Locality::Cell(endpoint.cell))
+                first_endpoint.map(|endpoint| Locality::Cell(endpoint.cell))
             }
             Idempotency::NonIdempotent => None,
         };
         locality.map_or(AllowedServers::None, AllowedServers::SameLocality)
     }
 
-    /// Servers that the request was sent to before. Where only one takes requests, it is tried again.
-    fn already_attempted(&self, request: &InFlightRequest) -> Vec<EndpointPosition> {
+    /// The servers to exclude because the request was sent to them before. If only one server is ready, it is
+    /// excluded only while the request has a live attempt to it, so that a retry can use it again.
+    fn excluded_servers(&self, request: &InFlightRequest) -> Vec<EndpointPosition> {
         let others_ready = self.index.ready() > 1;
         let excluded = request.attempts.iter().filter(|attempt| attempt.live || others_ready);
         excluded.filter_map(|attempt| self.index.find(attempt.server)).collect()
     }
 
-    /// The servers that the request may go to, up to a number of them.
+    /// The first servers that the next attempt of the request may be sent to, at most `max_size` of them.
     fn collect_candidates(
         &mut self,
         now: Millis,
@@ -214,20 +222,20 @@
         send_rate: f64,
     ) -> CandidateSet {
         let allowed = self.allowed_servers(request);
-        let excluded = self.already_attempted(request);
+        let excluded = self.excluded_servers(request);
         let rate_per_server = send_rate / self.index.warm().max(1) as f64;
-        // Ejection holds while half of the fleet is healthy. Past that the failures have a common cause, and
-        // only servers that cannot be reached stay out.
+        // Ejection applies while at least half of the fleet is healthy. Otherwise the failures are assumed to
+        // have a common cause, and of the unhealthy servers only the unreachable ones are excluded.
         let ejection_active = 2 * self.index.healthy() >= self.index.ready();
         let mut candidates = std::mem::take(&mut self.candidates);
-        candidates.begin(max_size);
+        candidates.reset(max_size);
         for block_index in 0..self.index.blocks.len() {
             if candidates.remaining() == 0 {
                 break;
             }
             self.endpoints_examined += 1;
             let block = &self.index.blocks[block_index];
-            let mut members = block.healthy | if ejection_active { 0 } else { block.unhealthy };
+            let mut members = block.available | if ejection_active { 0 } else { block.unhealthy_reachable };
             for position in excluded.iter().filter(|position| position.block == block_index) {
                 members &= !(1 << position.slot);
             }
@@ -237,7 +245,7 @@
                 AllowedServers::None => 0,
             };
             let block_len = block.slots.len();
-            let members = self.without_slow_starting(
+            let members = self.exclude_slow_start_limited(
                 now,
                 block_index,
                 members,
@@ -249,17 +257,18 @@
         candidates
     }
 
-    /// Leaves out the servers in slow start that may be sent nothing now, as far as `wanted` members reach.
-    fn without_slow_starting(
+    /// Removes from `members` the servers to which slow start allows no attempt now. Servers after the first
+    /// `needed` members are not checked.
+    fn exclude_slow_start_limited(
         &mut self,
         now: Millis,
         block: usize,
         mut members: u64,
-        wanted: usize,
+        needed: usize,
         rate_per_server: f64,
     ) -> u64 {
-        for slot in positions_of(members & self.index.blocks[block].cold) {
-            if (members & bits_below(slot)).count_ones() as usize >= wanted {
+        for slot in bit_indices(members & self.index.blocks[block].slow_starting) {
+            if (members & bits_below(slot)).count_ones() as usize >= needed {
                 break;
             }
             self.endpoints_examined += 1;
@@ -270,15 +279,16 @@
         members
     }
 
+    /// Whether slow start allows an attempt to the server at `position` now.
     fn slow_start_allows(&mut self, now: Millis, position: EndpointPosition, rate_per_server: f64) -> bool {
-        let server = self.index.at_mut(position);
-        let warm_fraction = self.slow_start.warm_fraction(now, server.endpoint.started);
-        warm_fraction >= 1.0 || server.slow_start_tokens.refill(now, warm_fraction, rate_per_server)
+        let tracked = self.index.at_mut(position);
+        let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started);
+        capacity_fraction >= 1.0 || tracked.slow_start_tokens.refill(now, capacity_fraction, rate_per_server)
     }
 
-    /// Takes a candidate if it is cheaper: by its response time, the attempts in flight at it and its
-    /// capacity.
-    fn compare(
+    /// Replaces `cheapest` by a candidate of lower cost. The cost follows from the candidate's response time,
+    /// its attempts in flight and the share of its capacity that it has reached in slow start.
+    fn update_cheapest(
         &mut self,
         now: Millis,
         candidate: Candidate,
@@ -286,27 +296,28 @@
         cheapest: &mut Cheapest,
     ) {
         self.endpoints_examined += 1;
-        let server = self.index.at(candidate.position);
+        let tracked = self.index.at(candidate.position);
         let jitter = 1.0 + COST_JITTER * draws.at(candidate.rank);
-        let warm_fraction = self.slow_start.warm_fraction(now, server.endpoint.started);
-        let cost = |latency: Millis| latency * (1.0 + server.in_flight()) * jitter / warm_fraction;
-        let fleet = self.mean_latency.get().unwrap_or(0.0).max(MIN_FLEET_LATENCY);
-        let own = server.mean_latency().unwrap_or(fleet);
-        // The latency lies between its own mean and the fleet's: most candidates need no closer look.
-        if cost(own.min(fleet)) * ROUNDING_MARGIN > cheapest.cost {
+        let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started);
+        let cost = |latency: Millis| latency * (1.0 + tracked.in_flight()) * jitter / capacity_fraction;
+        let fleet_latency = self.mean_latency.get().unwrap_or(0.0).max(MIN_FLEET_LATENCY);
+        let server_latency = tracked.mean_latency().unwrap_or(fleet_latency);
+        // The latency in the cost lies between the server's own mean and the mean over all servers. For most
+        // candidates, even the lower of the two gives too high a cost, so the decay need not be computed.
+        if cost(server_latency.min(fleet_latency)) * ROUNDING_MARGIN > cheapest.cost {
             return;
         }
         let decay_factor = if self.subset_active { SUBSET_DECAY_FACTOR } else { 1.0 };
-        let freshness = (-server.sample_age(now) / (LATENCY_DECAY * decay_factor)).exp();
-        let cost = cost(fleet + (own - fleet) * freshness);
+        let sample_weight = (-tracked.sample_age(now) / (LATENCY_DECAY_TIME * decay_factor)).exp();
+        let cost = cost(fleet_latency + (server_latency - fleet_latency) * sample_weight);
         if cheapest.server.is_none() || cost < cheapest.cost {
-            *cheapest = Cheapest { cost, server: Some(server.endpoint.server) };
+            *cheapest = Cheapest { cost, server: Some(tracked.endpoint.server) };
         }
     }
 }
 
-/// Two different indices below `len`, which is at least 2.
-fn two_of(len: usize, rng: &mut Pcg64Mcg) -> [usize; 2] {
+/// Draws two different indices below `len`, which is at least 2.
+fn two_random_indices(len: usize, rng: &mut Pcg64Mcg) -> [usize; 2] {
     let first = (uniform(rng) * len as f64) as usize;
     let other = (first + 1 + (uniform(rng) * (len - 1) as f64) as usize) % len;
     [first, other]
--- a/src/policy/mean_latency.rs
+++ b/src/policy/mean_latency.rs
@@ -1,13 +1,13 @@
-//! An exponentially weighted moving average of response times.
+//! Exponentially weighted moving average of response times.
 
 use crate::ids::Millis;
 
-/// A mean that knows whether there has been a sample.
+/// A moving average of response times; `None` until the first sample.
 #[derive(Clone, Copy, Default)]
 pub(super) struct MeanLatency(Option<Millis>);
 
 impl MeanLatency {
-    /// Takes in a sample, ms, with a gain from 0 to 1; the first one is the mean.
+    /// Adds a sample, in ms. `gain`, from 0 to 1, is its weight; the first sample becomes the mean as it is.
     pub(super) fn record(&mut self, sample: Millis, gain: f64) {
         self.0 = Some(match self.get() {
             Some(mean) => mean + gain * (sample - mean),
@@ -15,7 +15,7 @@
         });
     }
 
-    /// The mean, ms; a mean of 0 tells nothing.
+    /// The mean, in ms. A mean of 0 holds no information and is returned as `None`.
     pub(super) fn get(&self) -> Option<Millis> {
         self.0.filter(|mean| *mean > 0.0)
     }
--- a/src/policy/send_rate.rs
+++ b/src/policy/send_rate.rs
@@ -1,11 +1,11 @@
-//! The rate of first attempts of this gateway, decaying exponentially.
+//! Exponentially decaying average of the rate at which this gateway sends first attempts.
 
 use crate::ids::Millis;
 
-/// Time constant of the decay, ms.
+/// Time constant of the decay, in ms.
 const TIME_CONSTANT: Millis = 2000.0;
 
-/// First attempts per millisecond.
+/// The rate of first attempts.
 #[derive(Default)]
 pub(super) struct SendRate {
     per_ms: f64,
@@ -13,14 +13,14 @@
 }
 
 impl SendRate {
-    /// Counts a first attempt.
+    /// Counts a first attempt sent at `now`.
     pub(super) fn record(&mut self, now: Millis) {
         let decay = (-(now - self.updated_at).max(0.0) / TIME_CONSTANT).exp();
         self.per_ms = self.per_ms * decay + 1.0 / TIME_CONSTANT;
         self.updated_at = now;
     }
 
-    /// First attempts per millisecond, as of the last one.
+    /// First attempts per millisecond. The rate does not decay between the last first attempt and now.
     pub(super) fn per_ms(&self) -> f64 {
         self.per_ms
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,23 +1,22 @@
-//! Slow start: how much a server that has just started may be sent, so that it does not collapse under the
-//! sum of what all gateways send.
+//! Slow start: limits the attempts that this gateway sends to a server that has just started.
 //!
-//! Each gateway sends a starting server no more than its own mean rate to a warm one, scaled by the capacity
-//! that the server surely has by then. Guards against a server toppled by a burst, or by all gateways at
-//! once.
+//! Each gateway sends a starting server at most its own mean rate per warm server, scaled by the share of its
+//! capacity that the server has at least reached. Without this limit, a burst or the combined traffic of all
+//! gateways could overload a server that has only part of its capacity.
 
 use crate::ids::Millis;
 use crate::settings::Settings;
 
-/// Least rate to a warm server that the rate to a starting one is scaled from, attempts per millisecond.
+/// Minimum, in attempts per millisecond, of the rate per warm server that slow start scales down.
 const MIN_RATE_PER_SERVER: f64 = 0.0005;
-/// Attempts that can be saved up for a starting server.
+/// Maximum number of unused attempts that accumulate for a starting server.
 const MAX_TOKENS: f64 = 1.0;
 
-/// How servers warm up, by the settings.
+/// How the capacity of a starting server grows, as configured in the settings.
 pub(super) struct SlowStart {
-    /// Share of its capacity that a server has at its start.
+    /// Share of its full capacity that a server has when it starts.
     initial_capacity: f64,
-    /// Span after which it has its full capacity, ms.
+    /// Time from its start until a server has its full capacity, in ms.
     window: Millis,
 }
 
@@ -26,9 +25,9 @@
         SlowStart { initial_capacity: settings.slow_start_capacity, window: settings.slow_start_window }
     }
 
-    /// Share of its full capacity that a server that started at a time surely has by now; a start at 0 was
-    /// long ago.
-    pub(super) fn warm_fraction(&self, now: Millis, started: Millis) -> f64 {
+    /// Share of its full capacity that a server started at `started` has at least reached by `now`. A
+    /// `started` of 0 means that the server started long ago.
+    pub(super) fn capacity_fraction(&self, now: Millis, started: Millis) -> f64 {
         let age = now - started;
         if started <= 0.0 || age >= self.window {
             return 1.0;
@@ -36,17 +35,18 @@
         self.initial_capacity + (1.0 - self.initial_capacity) * (age / self.window).max(0.0)
     }
 
+    /// Whether a server started at `started` has its full capacity.
     pub(super) fn is_warm(&self, now: Millis, started: Millis) -> bool {
-        self.warm_fraction(now, started) >= 1.0
+        self.capacity_fraction(now, started) >= 1.0
     }
 
-    /// When a server that started at a time is warm.
+    /// When a server started at `started` reaches its full capacity.
     pub(super) fn warm_at(&self, started: Millis) -> Millis {
         started + self.window
     }
 }
 
-/// Attempts that one starting server may be sent: a token bucket.
+/// Token bucket that limits the attempts sent to one starting server.
 #[derive(Default)]
 pub(super) struct SlowStartTokens {
     tokens: f64,
@@ -54,21 +54,22 @@
 }
 
 impl SlowStartTokens {
-    /// An empty bucket that fills from `started` on.
+    /// An empty bucket that refills from `started` on.
     pub(super) fn empty_at(started: Millis) -> Self {
         SlowStartTokens { tokens: 0.0, refilled_at: started }
     }
 
-    /// Refills at the rate to a warm server, attempts per millisecond, times the warm fraction; whether an
-    /// attempt may be sent.
-    pub(super) fn refill(&mut self, now: Millis, warm_fraction: f64, rate_per_server: f64) -> bool {
-        let rate = warm_fraction * rate_per_server.max(MIN_RATE_PER_SERVER);
+    /// Refills the bucket and returns whether an attempt may be sent. The refill rate is `rate_per_server`,
+    /// the attempts per millisecond to a warm server, times `capacity_fraction`.
+    pub(super) fn refill(&mut self, now: Millis, capacity_fraction: f64, rate_per_server: f64) -> bool {
+        let rate = capacity_fraction * rate_per_server.max(MIN_RATE_PER_SERVER);
         let refilled = self.tokens + (now - self.refilled_at).max(0.0) * rate;
         self.tokens = refilled.min(MAX_TOKENS);
         self.refilled_at = now;
         self.tokens >= 1.0
     }
 
+    /// Takes the token of an attempt that is sent.
     pub(super) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
--- a/tests/unit/endpoint_index.rs
+++ b/tests/unit/endpoint_index.rs
@@ -1,4 +1,4 @@
-//! The order of servers against plain maps, through growth, loss and return.
+//! Checks the index against a plain map while servers are added, updated and removed at random.
 
 use super::*;
 use crate::policy::endpoint_block::{bits_below, Locality};
@@ -6,37 +6,41 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-fn place(index: &EndpointIndex, id: u32) -> EndpointPosition {
-    index.find(ServerId(id)).expect("a known server")
+/// Position of a server that has to be in the index.
+fn position_of(index: &EndpointIndex, id: u32) -> EndpointPosition {
+    index.find(ServerId(id)).expect("the server is in the index")
 }
 
-/// Checks one block's bits against what each server was last said to be.
+/// Checks the masks of one block against the health that was last set for each server.
 fn check_block(block: &Block, expected: &BTreeMap<u32, HealthState>) {
     assert!((1..=BLOCK_CAPACITY).contains(&block.slots.len()) && block.first_key == block.slots[0].key);
     for (i, slot) in block.slots.iter().enumerate() {
-        let health = expected[&slot.server.endpoint.server.0];
+        let health = expected[&slot.tracked.endpoint.server.0];
         let bit = |mask: u64| mask >> i & 1 == 1;
-        assert_eq!(bit(block.healthy), health.ready && !health.paused && health.healthy);
+        assert_eq!(bit(block.available), health.ready && !health.paused && health.healthy);
         assert_eq!(
-            bit(block.unhealthy),
+            bit(block.unhealthy_reachable),
             health.ready && !health.paused && !health.healthy && health.reachable
         );
-        assert_eq!(bit(block.cold), !health.warm);
-        let endpoint = &slot.server.endpoint;
+        assert_eq!(bit(block.slow_starting), !health.warm);
+        let endpoint = &slot.tracked.endpoint;
         let own = [Locality::Zone(endpoint.zone), Locality::Cell(endpoint.cell)];
         for mask in &block.localities {
             assert_eq!(bit(mask.members), own.contains(&mask.locality));
         }
         assert!(own.iter().all(|locality| bit(block.members_of(*locality))));
     }
-    let past_the_end = !bits_below(block.slots.len());
+    let unused_bits = !bits_below(block.slots.len());
     let members = block.localities.iter().fold(0, |all, mask| all | mask.members);
-    assert_eq!((block.healthy | block.unhealthy | block.cold | members) & past_the_end, 0);
+    assert_eq!(
+        (block.available | block.unhealthy_reachable | block.slow_starting | members) & unused_bits,
+        0
+    );
     assert!(block.localities.windows(2).all(|pair| pair[0].locality < pair[1].locality));
     assert!(block.localities.iter().all(|mask| mask.members != 0));
 }
 
-/// Checks order, bits and counts against what each server was last said to be.
+/// Checks order, masks and counts against the health that was last set for each server.
 fn check(index: &EndpointIndex, expected: &BTreeMap<u32, HealthState>) {
     let slots: Vec<&Slot> = index.blocks.iter().flat_map(|block| &block.slots).collect();
     assert!(slots.windows(2).all(|pair| pair[0].key < pair[1].key));
@@ -51,7 +55,7 @@
 }
 
 #[test]
-fn order_bits_and_counts_follow_every_change() {
+fn order_masks_and_counts_match_the_servers_after_every_change() {
     let mut rng = Pcg64Mcg::seed_from_u64(8);
     let mut index = EndpointIndex::new(rng.next_u64());
     let mut expected = BTreeMap::new();
@@ -66,12 +70,12 @@
             } else {
                 let [ready, paused, healthy, reachable, warm] = [0; 5].map(|_| rng.next_u32() % 3 > 0);
                 let health = HealthState { ready, paused, healthy, reachable, warm };
-                let position = index.enter(ServerId(id));
+                let position = index.find_or_insert(ServerId(id));
                 let endpoint = &mut index.at_mut(position).endpoint;
-                let home = rng.next_u32();
+                let locality = rng.next_u32();
                 endpoint.server = ServerId(id);
-                endpoint.zone = (home % 6) as u16;
-                endpoint.cell = (home % 29) as u16;
+                endpoint.zone = (locality % 6) as u16;
+                endpoint.cell = (locality % 29) as u16;
                 index.update_localities(position);
                 index.set_health(position, health, Some(f64::from(id)));
                 expected.insert(id, health);
@@ -81,19 +85,22 @@
             }
         }
         check(&index, &expected);
-        // Half stay in a whole list; the transitions are those of the servers that are left.
-        index.begin_list();
+        // A complete list keeps half of the servers; only their transitions remain.
+        index.begin_complete_list();
         expected.retain(|id, _| id % 2 == round as u32 % 2);
         for (id, health) in &expected {
-            let position = index.enter(ServerId(*id));
+            let position = index.find_or_insert(ServerId(*id));
             index.set_health(position, *health, Some(f64::from(*id)));
         }
         index.remove_unlisted();
         check(&index, &expected);
-        let due: Vec<u32> =
-            index.take_due(4000.0).into_iter().map(|position| index.at(position).endpoint.server.0).collect();
+        let due: Vec<u32> = index
+            .take_due_transitions(4000.0)
+            .into_iter()
+            .map(|position| index.at(position).endpoint.server.0)
+            .collect();
         assert_eq!(due, expected.keys().copied().filter(|id| *id <= 4000).collect::<Vec<_>>());
-        assert!(index.take_due(4000.0).is_empty());
-        assert!(due.iter().all(|id| index.at(place(&index, *id)).endpoint.server == ServerId(*id)));
+        assert!(index.take_due_transitions(4000.0).is_empty());
+        assert!(due.iter().all(|id| index.at(position_of(&index, *id)).endpoint.server == ServerId(*id)));
     }
 }
