--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,19 +1,19 @@
-//! The gateway with a fleet of thousands: complete lists, compact and indented, in pieces of a TCP segment.
-//! What is measured is printed; `--nocapture` shows it.
+//! Tests the gateway process with complete lists of thousands of endpoints, compact and indented, that arrive
+//! in pieces of the size of a TCP segment. Measured times are printed and visible with `--nocapture`.
 
-#[allow(dead_code)] // each file of tests uses its own part
+#[allow(dead_code)] // each test file uses a part of it
 mod support;
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Endpoints of the operators' plan.
+/// Number of endpoints in the fleet that the operators plan.
 const ENDPOINTS: usize = 5700;
-/// Bytes that a TCP segment carries.
+/// Payload of a TCP segment, in bytes.
 const SEGMENT_BYTES: usize = 1400;
 
-/// A complete list of so many endpoints, all at one server.
+/// A complete list of [`ENDPOINTS`] endpoints, all with the address of one server.
 fn complete_list(revision: u64, server: &Server, indented: bool) -> String {
     let members: Vec<String> =
         (0..ENDPOINTS).map(|i| member(&format!("s-{i:08x}"), server.address, "Ready")).collect();
@@ -21,31 +21,33 @@
     if !indented {
         return list + "\n";
     }
-    let list: serde_json::Value = serde_json::from_str(&list).expect("a list");
-    serde_json::to_string_pretty(&list).expect("a list") + "\n"
+    let list: serde_json::Value = serde_json::from_str(&list).expect("the list is valid JSON");
+    serde_json::to_string_pretty(&list).expect("the list can be written as JSON") + "\n"
 }
 
-/// Processor time that the gateway has used.
-fn processor_time(gateway: &GatewayProcess) -> Duration {
+/// CPU time that the gateway process has used so far.
+fn cpu_time(gateway: &GatewayProcess) -> Duration {
     let path = format!("/proc/{}/schedstat", gateway.child.id());
-    let text = std::fs::read_to_string(path).expect("the kernel's account");
-    let spent = text.split(' ').next().and_then(|ns| ns.parse().ok()).expect("a number");
-    Duration::from_nanos(spent)
+    let text = std::fs::read_to_string(path).expect("schedstat of the gateway can be read");
+    let nanos = text.split(' ').next().and_then(|ns| ns.parse().ok()).expect("schedstat has a CPU time");
+    Duration::from_nanos(nanos)
 }
 
-/// The watch is still the one it was: the whole fleet moves to another server, and the change is in force
-/// with no call more.
+/// Checks that the gateway has kept its watch. The gateway has to apply a list that moves all endpoints to
+/// the server `next`, without a further call to discovery.
 fn assert_watch_kept(gateway: &GatewayProcess, discovery: &Discovery, calls: usize, next: &Server) {
     discovery.write(&complete_list(9, next, false));
-    eventually("the change", || gateway.client().get_idempotent().status() == 200 && next.count() > 0);
-    let asked = discovery.requests_seen.lock().expect("a lock").clone();
-    assert_eq!(asked.len(), calls, "asked again: {asked:?}");
+    eventually("the list sent over the existing watch is applied", || {
+        gateway.client().get_idempotent().status() == 200 && next.count() > 0
+    });
+    let requests = discovery.requests_seen.lock().expect("the lock is not poisoned").clone();
+    assert_eq!(requests.len(), calls, "the gateway called discovery again: {requests:?}");
 }
 
-/// Discovery is silent when the gateway starts, and has no list of before to begin with. When discovery is
-/// back, its list of thousands has to be applied, however it is laid out, and the watch after it kept.
+/// Discovery does not answer when the gateway starts, and the gateway has no cached list. Once discovery
+/// answers, the gateway has to apply its list of thousands, compact or indented, and to keep its watch.
 #[test]
-fn a_complete_list_of_thousands_is_applied_after_a_silent_start() {
+fn a_complete_list_of_thousands_is_applied_when_discovery_answers_late() {
     let (server, next) = (Server::ok(), Server::ok());
     for indented in [false, true] {
         let text = complete_list(7, &server, indented);
@@ -53,24 +55,26 @@
         discovery.piece.store(SEGMENT_BYTES, Ordering::SeqCst);
         discovery.unresponsive.store(true, Ordering::SeqCst);
         let gateway = Setup::new(discovery.address, counter.address, "null").launch();
-        eventually("calls that are not answered", || discovery.calls() >= 2);
+        eventually("the gateway calls discovery twice without an answer", || discovery.calls() >= 2);
         assert_ne!(gateway.client().get("/healthz", "").status(), 200);
-        let (start, spent) = (Instant::now(), processor_time(&gateway));
+        let (start, cpu_at_start) = (Instant::now(), cpu_time(&gateway));
         discovery.unresponsive.store(false, Ordering::SeqCst);
-        eventually("healthz", || gateway.client().get("/healthz", "").status() == 200);
-        let (elapsed, spent) = (start.elapsed(), processor_time(&gateway) - spent);
+        eventually("the gateway reports ready on /healthz", || {
+            gateway.client().get("/healthz", "").status() == 200
+        });
+        let (elapsed, cpu_used) = (start.elapsed(), cpu_time(&gateway) - cpu_at_start);
         println!(
-            "complete list, {} bytes, indented {indented}: ready after {elapsed:?}, {spent:?} spent",
+            "complete list, {} bytes, indented {indented}: ready after {elapsed:?}, {cpu_used:?} of CPU",
             text.len()
         );
         assert_eq!(gateway.client().get_idempotent().status(), 200);
-        eventually("a watch", || discovery.watching() == 1);
+        eventually("the gateway opens a watch", || discovery.watching() == 1);
         assert_watch_kept(&gateway, &discovery, discovery.calls(), &next);
     }
 }
 
-/// A gateway that has a watch is sent a complete list of thousands on it. It has to apply the list and keep
-/// the watch.
+/// Discovery sends a complete list of thousands over an open watch. The gateway has to apply the list and to
+/// keep the watch.
 #[test]
 fn a_complete_list_of_thousands_is_applied_over_a_watch() {
     for indented in [false, true] {
@@ -78,14 +82,16 @@
         let (setup, discovery, _counter) = start_stubs(&[member("s-0fffffff", old.address, "Ready")]);
         discovery.piece.store(SEGMENT_BYTES, Ordering::SeqCst);
         let gateway = setup.start();
-        eventually("a watch", || discovery.watching() == 1);
+        eventually("the gateway opens a watch", || discovery.watching() == 1);
         let text = complete_list(7, &server, indented);
-        let (start, spent) = (Instant::now(), processor_time(&gateway));
+        let (start, cpu_at_start) = (Instant::now(), cpu_time(&gateway));
         discovery.write(&text);
-        eventually("the list", || gateway.client().get_idempotent().status() == 200 && server.count() > 0);
-        let (elapsed, spent) = (start.elapsed(), processor_time(&gateway) - spent);
+        eventually("the list sent over the watch is applied", || {
+            gateway.client().get_idempotent().status() == 200 && server.count() > 0
+        });
+        let (elapsed, cpu_used) = (start.elapsed(), cpu_time(&gateway) - cpu_at_start);
         println!(
-            "on a watch, {} bytes, indented {indented}: in force after {elapsed:?}, {spent:?}",
+            "list on a watch, {} bytes, indented {indented}: applied after {elapsed:?}, {cpu_used:?} of CPU",
             text.len()
         );
         assert_watch_kept(&gateway, &discovery, 1, &next);
--- a/tests/load_balancing.rs
+++ b/tests/load_balancing.rs
@@ -1,11 +1,11 @@
-//! The selection of a server: the same as by the plain rule over long random traffic, and the work that it
-//! takes.
+//! The selection of a server: over long random traffic, it chooses the same servers as a scan of all servers
+//! did, and the number of servers that it examines stays small.
 
 #[path = "load_balancing/deployment.rs"]
 mod deployment;
 #[path = "load_balancing/random_fleet.rs"]
 mod random_fleet;
-#[allow(dead_code)] // each file of tests uses its own part
+#[allow(dead_code)] // each test file uses a part of it
 #[path = "support/simulation.rs"]
 mod simulation;
 #[path = "load_balancing/steady_traffic.rs"]
@@ -20,13 +20,13 @@
 use std::time::Instant;
 use steady_traffic::SteadyTraffic;
 
-/// A run before a random fleet, and the digest of all that the gateway did.
+/// The parameters of a run with a random fleet, and the digest of the gateway's actions in it.
 struct RecordedRun {
     servers: u32,
     requests: u32,
-    /// Mean time between requests, ms.
+    /// Mean time between requests, in ms.
     interval: Millis,
-    /// Requests to a change of the list.
+    /// Mean number of requests between changes of the endpoint list.
     requests_per_change: u64,
     digest: u64,
 }
@@ -41,7 +41,7 @@
     RecordedRun { servers, requests, interval, requests_per_change, digest }
 }
 
-/// Digests as recorded of the rule that looked at every server (commit 2fc4292).
+/// Digests recorded with the earlier selection, which examined every server (commit 2fc4292).
 const RECORDED_RUNS: [RecordedRun; 11] = [
     recorded(1, 2000, 6.0, 40, 0xbb2a_c1dc_fc44_94c6),
     recorded(3, 4000, 6.0, 40, 0xc70e_8475_0d86_1773),
@@ -57,7 +57,7 @@
 ];
 
 #[test]
-fn the_index_selects_as_an_examination_of_every_server_did() {
+fn the_index_selects_the_same_servers_as_a_scan_of_all_servers() {
     for run in &RECORDED_RUNS {
         let RecordedRun { servers, requests, interval, .. } = *run;
         let seeds = if servers < 1000 { 4 } else { 2 };
@@ -65,33 +65,46 @@
             let mut fleet = RandomFleet::new(servers, 77 + seed);
             fleet.run(requests, interval, run.requests_per_change);
             let forwarded = fleet.forwarded;
-            assert!(servers < 20 || forwarded * 3 > requests as usize, "{servers}: {forwarded} attempts");
+            assert!(
+                servers < 20 || forwarded * 3 > requests as usize,
+                "only {forwarded} attempts for {requests} requests with {servers} servers"
+            );
             digest.rotate_left(1) ^ fleet.digest
         });
-        assert_eq!(digest, run.digest, "{servers} servers, a request in {interval} ms");
+        assert_eq!(
+            digest, run.digest,
+            "other actions than recorded with {servers} servers and a request every {interval} ms"
+        );
     }
 }
 
 #[test]
-fn a_selection_examines_no_more_servers_in_a_larger_fleet() {
+fn a_selection_in_a_large_fleet_examines_few_servers() {
     let examined = [20, 200, 1000, 5700].map(|servers| SteadyTraffic::new(servers).endpoints_examined());
-    println!("servers and blocks examined a request before 20, 200, 1,000 and 5,700 servers: {examined:?}");
+    println!("servers and blocks examined per request with 20, 200, 1,000 and 5,700 servers: {examined:?}");
     let [of_20, of_200, of_1000, of_5700] = examined;
-    assert!(2 * of_5700 <= 3 * of_20 && 2 * of_1000 <= 3 * of_20, "{examined:?}");
-    // All are compared while they are no more than the requests of 3 s.
-    assert!(of_200 <= 220, "{examined:?}");
+    assert!(
+        2 * of_5700 <= 3 * of_20 && 2 * of_1000 <= 3 * of_20,
+        "large fleets examine over 1.5 times as many servers as a fleet of 20: {examined:?}"
+    );
+    // A gateway compares all servers if they are no more than the requests that it sends in 3 s.
+    assert!(of_200 <= 220, "a fleet of 200 examines more than 220 servers and blocks: {examined:?}");
 }
 
 #[test]
-fn a_retry_that_is_bound_to_a_zone_or_a_cell_skips_the_others_in_blocks() {
+fn a_retry_restricted_to_a_zone_or_cell_skips_other_servers_in_blocks() {
     for class in [KEY_BY_ZONE, KEY_BY_CELL] {
         let mut traffic = SteadyTraffic::new(5700);
         traffic.class = class;
         traffic.retries = 0;
         let examined = traffic.endpoints_examined();
-        assert!(traffic.retries >= 12, "{} retries", traffic.retries);
-        // A first attempt examines 20, a retry each block at most, of 32 servers or more on the whole.
-        assert!(examined <= 20 + 5700 / 32 / 12 + 1, "class {class:?}: {examined} examined a request");
+        assert!(traffic.retries >= 12, "only {} retries, 12 at least", traffic.retries);
+        // A first attempt examines 20 servers and blocks. One request in 12 has a retry, which examines each
+        // block at most once; a block holds at least 32 servers on average.
+        assert!(
+            examined <= 20 + 5700 / 32 / 12 + 1,
+            "{class:?}: {examined} servers and blocks examined per request"
+        );
     }
 }
 
@@ -104,56 +117,57 @@
         let examined = traffic.endpoints_examined();
         assert!(
             examined <= 5700 / 16 + u64::from(ready.min(400)),
-            "{examined} examined before {ready} ready servers"
+            "{examined} servers and blocks examined per request with {ready} ready servers"
         );
     }
 }
 
-/// Repeats of each measurement of time.
-const REPEATS: usize = 9;
+/// Number of times that each duration is measured.
+const MEASUREMENTS: usize = 9;
 
-/// The time of one piece of work over several repeats, µs.
-struct WorkTime {
+/// The duration of one operation over several measurements, in µs.
+struct OperationTime {
     median: f64,
     min: f64,
     max: f64,
 }
 
-impl WorkTime {
-    fn measure(traffic: &mut SteadyTraffic, pieces: u32, work: impl Fn(&mut SteadyTraffic, u32)) -> Self {
-        let mut times = [0.0; REPEATS].map(|_| {
+impl OperationTime {
+    fn measure(traffic: &mut SteadyTraffic, operations: u32, run: impl Fn(&mut SteadyTraffic, u32)) -> Self {
+        let mut times = [0.0; MEASUREMENTS].map(|_| {
             let started = Instant::now();
-            (0..pieces).for_each(|piece| work(traffic, piece));
-            started.elapsed().as_secs_f64() * 1e6 / f64::from(pieces)
+            (0..operations).for_each(|operation| run(traffic, operation));
+            started.elapsed().as_secs_f64() * 1e6 / f64::from(operations)
         });
         times.sort_by(f64::total_cmp);
-        WorkTime { median: times[REPEATS / 2], min: times[0], max: times[REPEATS - 1] }
+        OperationTime { median: times[MEASUREMENTS / 2], min: times[0], max: times[MEASUREMENTS - 1] }
     }
 }
 
-impl fmt::Display for WorkTime {
+impl fmt::Display for OperationTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:.2} ({:.2} to {:.2})", self.median, self.min, self.max)
     }
 }
 
 #[test]
-fn the_times_of_a_request_and_a_list_update_are_printed() {
+fn the_durations_of_a_request_and_of_list_updates_are_printed() {
     const STATES: [EndpointState; 3] =
         [EndpointState::Removed, EndpointState::Draining, EndpointState::Ready];
     for servers in [20, 200, 700, 1000, 5700] {
         let mut traffic = SteadyTraffic::new(servers);
-        let request = WorkTime::measure(&mut traffic, 1000, |traffic, _| traffic.run(1));
-        let change = WorkTime::measure(&mut traffic, 999, |traffic, piece| {
-            let state = STATES[piece as usize % 3];
-            let changed = Endpoint { state, ..endpoint(1 + piece / 3 % servers) };
+        let request = OperationTime::measure(&mut traffic, 1000, |traffic, _| traffic.run(1));
+        let change = OperationTime::measure(&mut traffic, 999, |traffic, operation| {
+            let state = STATES[operation as usize % 3];
+            let changed = Endpoint { state, ..endpoint(1 + operation / 3 % servers) };
             traffic.handle(incremental_list(vec![changed]));
         });
-        let complete = WorkTime::measure(&mut traffic, 3, |traffic, _| {
+        let complete = OperationTime::measure(&mut traffic, 3, |traffic, _| {
             traffic.handle(complete_list(endpoints(servers)));
         });
         println!(
-            "{servers} servers, µs: a request {request}, an incremental update {change}, a complete list {complete}"
+            "{servers} servers, median (min to max) in µs: request {request}, incremental update {change}, \
+             complete list {complete}"
         );
     }
 }
--- a/tests/load_balancing/deployment.rs
+++ b/tests/load_balancing/deployment.rs
@@ -1,24 +1,26 @@
-//! The settings and servers that the simulations share.
+//! The settings, servers and requests that the load balancing tests share.
 
 use rate_limiting_gateway::event::{Endpoint, Request};
 use rate_limiting_gateway::ids::{ClassId, RequestId, ServerId, TenantId};
 use rate_limiting_gateway::settings::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 
-/// Zones and cells over which the servers are spread.
+/// Number of zones over which the servers are spread.
 pub const ZONES: u32 = 6;
+/// Number of cells over which the servers are spread.
 const CELLS: u32 = 23;
+/// Number of tenants that send the requests.
 const TENANTS: u32 = 50;
 
-/// The idempotent class; classes are by their place in [`settings`].
+/// The class of idempotent requests. Class ids are indices into the classes of [`settings`].
 pub const IDEMPOTENT: ClassId = ClassId(0);
-/// With an idempotency key that is known in the zone.
+/// The class with an idempotency key that only the servers of one zone share.
 pub const KEY_BY_ZONE: ClassId = ClassId(1);
-/// With an idempotency key that is known in the cell.
+/// The class with an idempotency key that only the servers of one cell share.
 pub const KEY_BY_CELL: ClassId = ClassId(2);
-/// Number of classes.
+/// Number of classes in [`settings`].
 pub const CLASSES: u64 = 5;
 
-/// Three gateways and a class for each kind of idempotency.
+/// Settings for three gateways, with a class for each kind of idempotency.
 pub fn settings() -> Settings {
     let with_key = |scope| Idempotency::IdempotencyKey { scope, window: 4000.0 };
     let idempotencies = [
@@ -49,7 +51,7 @@
     }
 }
 
-/// A ready server in its zone and cell.
+/// The list entry of a ready server, whose zone and cell follow from its number.
 pub fn endpoint(server: u32) -> Endpoint {
     Endpoint {
         server: ServerId(server),
@@ -60,12 +62,12 @@
     }
 }
 
-/// Ready servers, numbered from 1.
+/// The list entries of `count` ready servers, numbered from 1.
 pub fn endpoints(count: u32) -> Vec<Endpoint> {
     (1..=count).map(endpoint).collect()
 }
 
-/// A request by its number.
+/// A request whose id and tenant follow from its number.
 pub fn request(number: u32, class: ClassId) -> Request {
     Request {
         id: RequestId(number),
--- a/tests/load_balancing/random_fleet.rs
+++ b/tests/load_balancing/random_fleet.rs
@@ -1,5 +1,4 @@
-//! A gateway before a fleet that changes, fails and recovers at random, and a digest of all that the gateway
-//! did.
+//! A gateway with a fleet that changes, fails and recovers at random, and a digest of the gateway's actions.
 
 use crate::deployment::{endpoint, endpoints, request, settings, CLASSES, ZONES};
 use crate::simulation::attempt_ended;
@@ -8,19 +7,20 @@
 use rate_limiting_gateway::ids::{ClassId, Millis, RequestId, ServerId};
 use rate_limiting_gateway::policy::Gateway;
 
-/// Start and prime of the FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
-/// Period of the gateway's timer, ms.
+/// Minimum time between events of the gateway's timer, in ms.
 const TIMER_PERIOD: Millis = 20.0;
-/// How long nearly all attempts fail once they do, ms.
-const OUTAGE: Millis = 400.0;
-/// A restarted server started so long ago, ms.
+/// Duration of an outage, in which most attempts fail, in ms.
+const OUTAGE_DURATION: Millis = 400.0;
+/// Age of a restarted server when the list shows its restart, in ms.
 const RESTART_AGE: Millis = 9000.0;
-/// What is added to the numbers of servers that replace others.
+/// Number that is added to the id of a server to get the id of its replacement.
 const REPLACEMENT_OFFSET: u32 = 20_000;
 
-/// SplitMix64: random numbers of the test's own, apart from the gateway's.
+/// SplitMix64 random generator of the test, which is independent of the gateway's generator.
 struct SplitMix64(u64);
 
 impl SplitMix64 {
@@ -40,7 +40,7 @@
     }
 }
 
-/// An attempt in flight, and how it will end.
+/// An attempt in flight, and how and when it will end.
 struct InFlightAttempt {
     ends_at: Millis,
     outcome: Outcome,
@@ -50,29 +50,30 @@
     elapsed: Millis,
 }
 
-/// An attempt that the gateway has made for a request without a final answer.
-struct MadeAttempt {
+/// An attempt, ended or not, of a request that has no final answer yet.
+struct UnansweredAttempt {
     id: RequestId,
 }
 
-/// A gateway before a fleet that changes, fails and recovers at random.
+/// A gateway with a fleet that changes, fails and recovers at random.
 pub struct RandomFleet {
     gateway: Gateway,
     rng: SplitMix64,
     now: Millis,
     endpoints: Vec<Endpoint>,
     in_flight: Vec<InFlightAttempt>,
-    made: Vec<MadeAttempt>,
-    /// Hash of what the gateway did.
+    /// All attempts so far of the requests without a final answer; they number the next attempt of a request.
+    unanswered: Vec<UnansweredAttempt>,
+    /// Hash of the gateway's actions.
     pub digest: u64,
-    /// Attempts made.
+    /// Number of attempts that the gateway has sent.
     pub forwarded: usize,
-    /// Until then nearly all attempts fail, ms.
+    /// When the current outage ends, in ms.
     outage_until: Millis,
 }
 
 impl RandomFleet {
-    /// A gateway that holds a cached list of ready servers.
+    /// A gateway that starts with a cached list of ready servers.
     pub fn new(servers: u32, seed: u64) -> Self {
         let endpoints = endpoints(servers);
         let mut fleet = RandomFleet {
@@ -81,7 +82,7 @@
             now: 100.0,
             endpoints: endpoints.clone(),
             in_flight: Vec::new(),
-            made: Vec::new(),
+            unanswered: Vec::new(),
             digest: FNV_OFFSET,
             forwarded: 0,
             outage_until: 0.0,
@@ -90,8 +91,8 @@
         fleet
     }
 
-    /// Sends requests at a mean interval, ms, with a change of the list for one in `requests_per_change` of
-    /// them.
+    /// Sends requests at a mean interval, in ms. On average, the list changes or an outage begins once in
+    /// `requests_per_change` requests.
     pub fn run(&mut self, requests: u32, mean_interval: Millis, requests_per_change: u64) {
         let mut next_timer = self.now;
         for number in 0..requests {
@@ -102,14 +103,15 @@
             }
             self.end_due_attempts();
             if self.rng.below(requests_per_change) == 0 {
-                self.change_at_random();
+                self.apply_random_change();
             }
             let class = ClassId(self.rng.below(CLASSES) as usize);
             self.handle(Event::Request(request(number, class)));
         }
     }
 
-    fn digest_word(&mut self, word: u32) {
+    /// Adds a word to the digest.
+    fn add_to_digest(&mut self, word: u32) {
         self.digest = (self.digest ^ u64::from(word)).wrapping_mul(FNV_PRIME);
     }
 
@@ -120,11 +122,11 @@
             match action {
                 Action::Forward { id, server, .. } => self.begin_attempt(id, server),
                 Action::Reject { id, .. } | Action::Fail(id) => {
-                    self.digest_word(!id.0);
-                    self.made.retain(|made| made.id != id);
+                    self.add_to_digest(!id.0);
+                    self.unanswered.retain(|attempt| attempt.id != id);
                 }
                 Action::Cancel { id, attempt } => {
-                    self.digest_word(id.0.rotate_left(8) ^ u32::from(attempt));
+                    self.add_to_digest(id.0.rotate_left(8) ^ u32::from(attempt));
                 }
                 _ => {}
             }
@@ -132,13 +134,13 @@
     }
 
     fn begin_attempt(&mut self, id: RequestId, server: ServerId) {
-        self.digest_word(id.0 ^ (server.0 << 16));
+        self.add_to_digest(id.0 ^ (server.0 << 16));
         self.forwarded += 1;
-        let attempt = self.made.iter().filter(|made| made.id == id).count() as u8;
-        self.made.push(MadeAttempt { id });
+        let attempt = self.unanswered.iter().filter(|earlier| earlier.id == id).count() as u8;
+        self.unanswered.push(UnansweredAttempt { id });
         let outcome = self.draw_outcome(server);
-        let slowest = if server.0 % 11 == 5 { 160.0 } else { 40.0 };
-        let elapsed = (slowest * self.rng.uniform()).floor() / 4.0 + 1.0;
+        let max_quarter_millis = if server.0 % 11 == 5 { 160.0 } else { 40.0 };
+        let elapsed = (max_quarter_millis * self.rng.uniform()).floor() / 4.0 + 1.0;
         let ends_at = self.now + elapsed;
         self.in_flight.push(InFlightAttempt { ends_at, outcome, id, attempt, server, elapsed });
     }
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Ends the attempts that are due, in the order of their ends.
+    /// Ends the attempts whose end time has passed, in the order of their end times.
     fn end_due_attempts(&mut self) {
         let ends_at = |fleet: &Self, index: usize| fleet.in_flight[index].ends_at;
         while let Some(next) =
@@ -166,41 +168,41 @@
             }
             let ended = self.in_flight.remove(next);
             if ended.outcome == Outcome::Ok {
-                self.made.retain(|made| made.id != ended.id);
+                self.unanswered.retain(|attempt| attempt.id != ended.id);
             }
             let InFlightAttempt { outcome, id, attempt, server, elapsed, .. } = ended;
             self.handle(attempt_ended(id, attempt, server, outcome, elapsed));
         }
     }
 
-    /// One change of the list: a server drains, is removed, returns or restarts, a zone is lost or returns,
-    /// half of the servers are replaced, a complete list leaves some out and names one twice; or an outage
-    /// begins.
-    fn change_at_random(&mut self) {
+    /// Makes one random change. Either the list changes (a server drains, is removed or restarts; a zone
+    /// drains or returns; half of the servers are replaced; a complete list omits some servers and lists one
+    /// twice), or an outage begins.
+    fn apply_random_change(&mut self) {
         let index = self.rng.below(self.endpoints.len() as u64) as usize;
         let mut update = EndpointUpdate::Incremental;
         let entries = match self.rng.below(16) {
             0..=3 => self.drain(index),
             4..=6 => vec![Endpoint { state: EndpointState::Removed, ..self.endpoints[index].clone() }],
             7..=10 => self.restart(index),
-            11 => self.change_zone(),
+            11 => self.change_zone_state(),
             12 => {
                 update = EndpointUpdate::Complete;
                 self.replace_half()
             }
             13 => {
-                self.outage_until = self.now + OUTAGE;
+                self.outage_until = self.now + OUTAGE_DURATION;
                 Vec::new()
             }
             _ => {
                 update = EndpointUpdate::Complete;
-                self.list_without_some(index)
+                self.omit_some_and_repeat_one(index)
             }
         };
         self.handle(Event::EndpointsChanged { update, entries });
     }
 
-    /// When a restarted server started, ms.
+    /// Start time that the list shows for a server that restarts, in ms.
     fn restarted_at(&self) -> Millis {
         (self.now - RESTART_AGE).max(1.0)
     }
@@ -216,7 +218,7 @@
         vec![self.endpoints[index].clone()]
     }
 
-    fn change_zone(&mut self) -> Vec<Endpoint> {
+    fn change_zone_state(&mut self) -> Vec<Endpoint> {
         let zone = self.rng.below(u64::from(ZONES)) as u16;
         let state = [EndpointState::Draining, EndpointState::Ready][self.rng.below(2) as usize];
         let in_zone = self.endpoints.iter_mut().filter(|endpoint| endpoint.zone == zone);
@@ -236,10 +238,10 @@
         self.endpoints.clone()
     }
 
-    fn list_without_some(&mut self, repeated: usize) -> Vec<Endpoint> {
+    fn omit_some_and_repeat_one(&mut self, repeated: usize) -> Vec<Endpoint> {
         self.endpoints.iter_mut().for_each(|endpoint| endpoint.state = EndpointState::Ready);
-        let left_out = self.rng.below(9) as usize;
-        let listed = self.endpoints.iter().enumerate().filter(|(index, _)| index % 9 != left_out);
+        let omitted = self.rng.below(9) as usize;
+        let listed = self.endpoints.iter().enumerate().filter(|(index, _)| index % 9 != omitted);
         listed.map(|(_, endpoint)| endpoint.clone()).chain([self.endpoints[repeated].clone()]).collect()
     }
 }
--- a/tests/load_balancing/steady_traffic.rs
+++ b/tests/load_balancing/steady_traffic.rs
@@ -1,4 +1,4 @@
-//! A gateway with steady traffic, for what a selection examines and costs.
+//! A gateway with steady traffic, to measure how many servers a selection examines and how long it takes.
 
 use crate::deployment::{endpoints, request, settings, IDEMPOTENT};
 use crate::simulation::{attempt_ended, complete_list, forwarded_to};
@@ -7,29 +7,30 @@
 use rate_limiting_gateway::policy::Gateway;
 use rate_limiting_gateway::settings::{Plan, Settings};
 
-/// One gateway's share of the plan's peak.
+/// Requests per second of one gateway at its share of the planned peak traffic.
 const REQUESTS_PER_SECOND: f64 = 264.0;
-/// Requests after which a gateway knows its traffic.
+/// Number of requests after which the gateway's averages of rate and response times are stable.
 const WARM_UP_REQUESTS: u32 = 2500;
-/// The timer fires once in so many requests.
+/// Number of requests between two timer events.
 const REQUESTS_PER_TIMER: u32 = 5;
-/// Of classes with an idempotency key one request in so many is reset and retried.
+/// In classes with an idempotency key, the first attempt of one request in this many is reset and retried.
 const REQUESTS_PER_RETRY: u32 = 12;
-/// Requests over which the endpoints examined are averaged.
+/// Number of requests over which the number of examined endpoints is averaged.
 const MEASURED_REQUESTS: u32 = 200;
 
-/// A gateway at its share of the plan's peak, with each request answered before the next.
+/// A gateway at its share of the planned peak traffic. Each request ends before the next one arrives.
 pub struct SteadyTraffic {
     gateway: Gateway,
     now: Millis,
     last_request: u32,
+    /// Class of the requests.
     pub class: ClassId,
-    /// Retries so far.
+    /// Number of retries so far.
     pub retries: u32,
 }
 
 impl SteadyTraffic {
-    /// A gateway that knows its servers and its traffic.
+    /// A gateway that has its endpoint list and has been warmed up with traffic.
     pub fn new(servers: u32) -> Self {
         let plans = vec![Plan { rate: 1000.0, burst: 2000.0, priority_multiplier: 1.0, ..Plan::default() }];
         let gateway = Gateway::new(Settings { plans, ..settings() }, 5);
@@ -39,12 +40,12 @@
         traffic
     }
 
-    /// Feeds an event whose actions do not matter.
+    /// Passes an event to the gateway and discards the resulting actions.
     pub fn handle(&mut self, event: Event) {
         self.gateway.handle(self.now, event, &mut Vec::new());
     }
 
-    /// Sends so many requests.
+    /// Runs a number of requests, with the timer events between them.
     pub fn run(&mut self, requests: u32) {
         for _ in 0..requests {
             self.last_request += 1;
@@ -56,17 +57,17 @@
         }
     }
 
-    /// One request to its end, with its retry.
+    /// Runs one request, including its retry, until it ends.
     fn run_request(&mut self) {
         let id = RequestId(self.last_request);
-        let is_reset = self.class != IDEMPOTENT && self.last_request % REQUESTS_PER_RETRY == 0;
+        let first_attempt_is_reset = self.class != IDEMPOTENT && self.last_request % REQUESTS_PER_RETRY == 0;
         let mut actions = Vec::new();
         let event = Event::Request(request(self.last_request, self.class));
         self.gateway.handle(self.now, event, &mut actions);
         let mut attempt = 0;
         let mut at = self.now;
         while let Some(server) = forwarded_to(&actions) {
-            let outcome = if is_reset && attempt == 0 { Outcome::Reset } else { Outcome::Ok };
+            let outcome = if first_attempt_is_reset && attempt == 0 { Outcome::Reset } else { Outcome::Ok };
             let elapsed = f64::from(server.0 % 7) + 1.0;
             at += elapsed;
             actions.clear();
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Servers and blocks of servers that the gateway examines for a request.
+    /// Mean number of servers and blocks of servers that the gateway examines per request.
     pub fn endpoints_examined(&mut self) -> u64 {
         let before = self.gateway.endpoints_examined();
         self.run(MEASURED_REQUESTS);
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -1,4 +1,5 @@
-//! Which servers get requests: draining, starting and failing ones, and how many attempts are in flight.
+//! Which servers get requests when some are draining, starting or failing, and how many attempts a gateway
+//! keeps in flight.
 
 use crate::rig::{large_fleet_settings, settings, Received, Rig};
 use crate::simulation::{attempt_ended, complete_list, incremental_list, ready_endpoint};
@@ -6,7 +7,7 @@
 use rate_limiting_gateway::ids::{ServerId, TenantId};
 use rate_limiting_gateway::settings::Settings;
 
-/// A gateway of a large fleet that is not limited by its quota.
+/// A gateway of a large fleet that enforces no quota shared through the counter.
 fn gateway_of_large_fleet(seed: u64, servers: u32) -> Rig {
     let settings = Settings { counter: false, ..large_fleet_settings(1000.0, 3000.0) };
     Rig::with_complete_list(settings, seed, servers)
@@ -37,17 +38,20 @@
         let now = 1000.0 + f64::from(step) * 15.0;
         let request = Request { tenant: TenantId(step as u64), gateway_count: 2.0, ..Request::default() };
         let Received { id, actions } = rig.request_like(now, request);
-        let server = actions.forwarded_to().expect("forwarded");
+        let server = actions.forwarded_to().expect("the request is forwarded");
         to_starting += usize::from(server == ServerId(1));
         rig.end_attempt(now + 1.0, id, server, Outcome::Ok);
     }
-    assert!(to_starting <= 8, "{to_starting} of 60 in the first second");
+    assert!(
+        to_starting <= 8,
+        "the starting server got {to_starting} of 60 requests in its first second, 8 at most"
+    );
 }
 
-/// Found on an incident: responses were slow for another reason than the gateway's own traffic, and its
-/// concurrency limit fell until it sent next to nothing.
+/// Regression test for an incident: responses were slow for a reason other than the gateway's own traffic,
+/// and its concurrency limit fell until it sent almost nothing.
 #[test]
-fn a_gateway_with_slow_servers_keeps_two_attempts_in_flight_for_each() {
+fn a_gateway_with_slow_servers_keeps_two_attempts_in_flight_per_server() {
     let mut rig = Rig::new(Settings { gateway_count: 1.0, ..settings() }, 6);
     let request_of = |tenant| Request { tenant: TenantId(tenant), gateway_count: 2.0, ..Request::default() };
     for step in 0..400 {
@@ -60,11 +64,14 @@
     let forwarded =
         (1000..1040).filter(|tenant| rig.request_like(9000.0, request_of(*tenant)).actions.is_forwarded());
     let in_flight = forwarded.count();
-    assert!((12..40).contains(&in_flight), "{in_flight} in flight");
+    assert!(
+        (12..40).contains(&in_flight),
+        "the gateway keeps {in_flight} attempts in flight, 12 to 39 expected"
+    );
 }
 
 #[test]
-fn many_gateways_together_keep_less_than_one_attempt_each_in_flight_when_responses_are_slow() {
+fn a_gateway_of_a_large_fleet_pauses_after_each_attempt_when_responses_are_slow() {
     const RESPONSE_TIME: f64 = 480.0;
     let mut rig = gateway_of_large_fleet(5, 100);
     let mut last_forwarded = 0;
@@ -74,33 +81,41 @@
         let Some(server) = actions.forwarded_to() else { continue };
         last_forwarded = second;
         rig.handle(now + RESPONSE_TIME, attempt_ended(id, 0, server, Outcome::Ok, RESPONSE_TIME));
-        // Eight attempts a server over 500 gateways are more than one each at first, two are not.
+        // For 100 servers and 500 gateways, the initial limit of eight attempts per server is more than one
+        // attempt per gateway. The lowest limit, two per server, is less than one.
         if second > 80 {
             let next = rig.request_like(now + RESPONSE_TIME + 20.0, large_fleet_request());
-            assert!(!next.actions.is_forwarded(), "the gateway rests after an attempt");
+            assert!(
+                !next.actions.is_forwarded(),
+                "the gateway sent a request right after an attempt instead of pausing"
+            );
         }
     }
-    assert!(last_forwarded > 80, "it goes on sending, last at {last_forwarded} s");
+    assert!(last_forwarded > 80, "the gateway stopped sending requests after {last_forwarded} s");
 }
 
 #[test]
-fn a_server_that_fails_quickly_is_ejected_at_once_where_servers_are_seen_rarely() {
+fn the_first_quick_failure_ejects_a_server_that_gets_requests_rarely() {
     for outcome in [Outcome::ConnectFailed, Outcome::Reset, Outcome::Error] {
         let mut rig = gateway_of_large_fleet(5, 100);
         let Received { id, actions } = rig.request_like(1000.0, large_fleet_request());
-        let failing = actions.forwarded_to().expect("forwarded");
+        let failing = actions.forwarded_to().expect("the request is forwarded");
         rig.end_attempt(1003.0, id, failing, outcome);
         for step in 0..20 {
             let next = rig.request_like(1100.0 + 50.0 * f64::from(step), large_fleet_request());
-            assert_ne!(next.actions.forwarded_to(), Some(failing), "{outcome:?}");
+            assert_ne!(
+                next.actions.forwarded_to(),
+                Some(failing),
+                "a request went to the server that failed: {outcome:?}"
+            );
         }
     }
 }
 
-/// Found on a day with an outlier: each gateway met it every few seconds only, and took long to see three
-/// failures.
+/// Regression test for a day with a failing server: each gateway sent it a request only every few seconds, so
+/// three consecutive failures took long to come together.
 #[test]
-fn a_hundred_gateways_send_a_failing_server_at_most_one_request_each() {
+fn a_hundred_gateways_together_send_few_requests_to_failing_servers() {
     let mut failed = 0;
     for seed in 0..100 {
         let mut rig = gateway_of_large_fleet(seed, 60);
@@ -113,6 +128,6 @@
             rig.end_attempt(now + 10.0, id, server, if failing { Outcome::Error } else { Outcome::Ok });
         }
     }
-    // Six of sixty fail, so a gateway meets about one of them among its eight.
-    assert!(failed <= 200, "{failed} of 5000 requests met a failing server");
+    // Six of the 60 servers fail, so the subset of eight servers of a gateway contains about one of them.
+    assert!(failed <= 200, "{failed} of 5000 requests went to a failing server, 200 at most");
 }
--- a/tests/slow_start/attempts.rs
+++ b/tests/slow_start/attempts.rs
@@ -1,9 +1,9 @@
-//! The attempts of all gateways' requests.
+//! The attempts that all gateways of the simulation have made.
 
 use rate_limiting_gateway::ids::{Millis, RequestId};
 use std::collections::HashMap;
 
-/// A request of one incarnation of a gateway.
+/// Identifies a request of one incarnation of a gateway. A restart begins a new incarnation.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestKey {
     pub gateway: usize,
@@ -11,11 +11,11 @@
     pub id: RequestId,
 }
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
     pub request: RequestKey,
-    /// Its number at the gateway, from 0.
+    /// Index of the attempt among those of its request, from 0.
     pub attempt: u8,
 }
 
@@ -26,18 +26,18 @@
     pub sent_at: Millis,
 }
 
-/// The attempts of all requests, numbered in the order in which they began.
+/// The attempts of all requests. They are numbered in the order in which they began.
 #[derive(Default)]
 pub struct AttemptTable {
     last_number: u64,
     in_flight: HashMap<u64, InFlightAttempt>,
     numbers: HashMap<AttemptKey, u64>,
-    /// Attempts that each request has had.
+    /// Number of attempts that each request has had so far.
     counts: HashMap<RequestKey, u8>,
 }
 
 impl AttemptTable {
-    /// Adds the next attempt of a request, and returns its number.
+    /// Adds the next attempt of a request and returns the attempt's number.
     pub fn add(&mut self, request: RequestKey, server: usize, sent_at: Millis) -> u64 {
         let count = self.counts.entry(request).or_default();
         let key = AttemptKey { request, attempt: *count };
@@ -48,20 +48,20 @@
         self.last_number
     }
 
-    /// The number of an attempt that has begun.
+    /// The number of an attempt, if the attempt has begun.
     pub fn number(&self, key: AttemptKey) -> Option<u64> {
         self.numbers.get(&key).copied()
     }
 
-    /// Ends an attempt; none if it has ended before.
+    /// Removes and returns an attempt in flight; `None` if the attempt has already ended.
     pub fn remove(&mut self, number: u64) -> Option<InFlightAttempt> {
         self.in_flight.remove(&number)
     }
 
-    /// Numbers of the attempts in flight at some servers, in order.
-    pub fn in_flight_at(&self, is_one: impl Fn(usize) -> bool) -> Vec<u64> {
-        let at_servers = self.in_flight.iter().filter(|(_, attempt)| is_one(attempt.server));
-        let mut numbers: Vec<u64> = at_servers.map(|(number, _)| *number).collect();
+    /// The numbers of the attempts in flight to the servers that `is_selected` accepts, in ascending order.
+    pub fn in_flight_at(&self, is_selected: impl Fn(usize) -> bool) -> Vec<u64> {
+        let selected = self.in_flight.iter().filter(|(_, attempt)| is_selected(attempt.server));
+        let mut numbers: Vec<u64> = selected.map(|(number, _)| *number).collect();
         numbers.sort_unstable();
         numbers
     }
--- a/tests/slow_start/event.rs
+++ b/tests/slow_start/event.rs
@@ -1,4 +1,4 @@
-//! Events of the simulation, in the order in which they were scheduled.
+//! Events of the simulation, ordered by when they were scheduled.
 
 use rate_limiting_gateway::event::Outcome;
 use std::cmp::Ordering;
@@ -6,21 +6,22 @@
 /// Something that happens in the simulation.
 #[derive(Clone, Copy)]
 pub enum FleetEvent {
-    /// A request comes in.
+    /// A request arrives at a gateway.
     Arrival,
     /// A gateway's timer fires.
     Timer { gateway: usize, incarnation: u32 },
     /// A gateway is notified of the servers that have started.
     Notified { gateway: usize },
-    /// An attempt ends, unless it has ended before.
+    /// An attempt ends. The event has no effect if the attempt has already ended.
     AttemptEnded { number: u64, outcome: Outcome },
-    /// The servers that will start go down.
+    /// The servers that start at [`FleetEvent::ServersStart`] go down.
     ServersStop,
-    /// They start.
+    /// The starting servers start.
     ServersStart,
 }
 
-/// An event with its place in the order of scheduling, by which events of one microsecond are ordered.
+/// An event with its sequence number. Events of the same microsecond happen in the order of their sequence
+/// numbers, that is, in the order in which they were scheduled.
 pub struct SequencedEvent {
     pub sequence: u64,
     pub event: FleetEvent,
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -1,8 +1,8 @@
-//! Gateways and servers on one simulated clock, some of the servers starting together.
+//! Simulates gateways and servers on one clock, where some of the servers start at the same time.
 
 use crate::attempts::{AttemptKey, AttemptTable, InFlightAttempt, RequestKey};
 use crate::event::{FleetEvent, SequencedEvent};
-use crate::outcome::SlowStartOutcome;
+use crate::report::SlowStartReport;
 use crate::server::{ReceivedRequest, SimulatedServer, CORES, MEAN_WORK};
 use crate::simulation::{EventQueue, SeededRng};
 use crate::world::{GatewayRestart, World, DOWNTIME, START};
@@ -13,39 +13,43 @@
 use rate_limiting_gateway::settings::Settings;
 use std::collections::{HashMap, VecDeque};
 
-/// A burst of traffic begins so long after the servers' start, ms.
+/// Time from the servers' start to the beginning of a traffic burst, in ms.
 const BURST_AFTER: Millis = 2500.0;
-/// Tenants, whose requests come in turn.
+/// Number of tenants. Successive requests come from successive tenants.
 const TENANTS: u64 = 5000;
-/// Classes of requests, in turn.
+/// Classes of successive requests, repeated.
 const CLASSES: [usize; 4] = [0, 0, 1, 2];
-/// The time after which a request's client gives up, ms.
+/// Time after which the client of a request gives up, in ms.
 const TIME_LEFT: Millis = 2000.0;
-/// A request counts as served within this, ms.
+/// Maximum time from arrival to response for a request to count as served in time, in ms.
 const SERVED_WITHIN: Millis = 800.0;
-/// Times after which a failed connection, another fault, a rejection and a response reach the gateway, ms.
+/// Time after which the gateway learns of a failed connection, in ms.
 const CONNECT_FAILURE_LATENCY: Millis = 1.0;
+/// Time after which the gateway learns of any other injected fault except a timeout, in ms.
 const FAULT_LATENCY: Millis = 2.0;
+/// Time after which the gateway learns that a server with a full queue rejected a request, in ms.
 const REJECTION_LATENCY: Millis = 1.0;
+/// Time from the completion of a request until the gateway receives the response, in ms.
 const RESPONSE_LATENCY: Millis = 0.5;
-/// The ways in which attempts fail, alike often.
+/// The outcomes of attempts with an injected fault, all equally likely.
 const FAULTS: [Outcome; 5] =
     [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset, Outcome::TimedOut];
 
-/// An event for one gateway.
+/// An event to pass to one gateway.
 struct GatewayEvent {
     gateway: usize,
     event: Event,
 }
 
-/// What is drawn for an attempt when it begins.
+/// The random properties of an attempt, drawn when the attempt begins.
 struct DrawnAttempt {
-    /// Work of the request as a multiple of the mean.
+    /// Work of the request, as a multiple of [`MEAN_WORK`].
     work: f64,
+    /// How the attempt fails, if a fault is injected.
     fault: Option<Outcome>,
 }
 
-/// Whether the starting servers are up.
+/// The state of the starting servers.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ServerPhase {
     BeforeStop,
@@ -53,30 +57,33 @@
     Started,
 }
 
-/// A fleet in its simulation.
+/// A simulated fleet of gateways and servers.
 pub struct Fleet {
     world: World,
     settings: Settings,
     rng: SeededRng,
     gateways: Vec<Gateway>,
-    /// How often each gateway has restarted.
+    /// Number of times that each gateway has restarted.
     incarnations: Vec<u32>,
-    /// Whether each gateway has been notified of the start.
+    /// Whether each gateway has been notified of the servers' start.
     notified: Vec<bool>,
-    /// Cumulative shares of the traffic.
+    /// Cumulative shares of the traffic over the gateways.
     traffic: Vec<f64>,
     servers: Vec<SimulatedServer>,
     phase: ServerPhase,
     queue: EventQueue<SequencedEvent>,
     next_sequence: u64,
     attempts: AttemptTable,
-    arrived: HashMap<RequestKey, Millis>,
+    /// When each request arrived, in ms.
+    arrived_at: HashMap<RequestKey, Millis>,
+    /// Number of requests that have arrived.
     requests: u32,
-    served: u32,
+    /// Number of requests that were served in time.
+    served_in_time: u32,
 }
 
 impl Fleet {
-    /// A fleet before its first event.
+    /// A fleet in which no event has happened yet.
     pub fn new(world: &World, seed: u64) -> Self {
         let mut rng = SeededRng::new(seed.wrapping_mul(0x9e37_79b9) ^ 0x5eed);
         let settings = world.settings();
@@ -97,14 +104,14 @@
             queue: EventQueue::new(),
             next_sequence: 0,
             attempts: AttemptTable::default(),
-            arrived: HashMap::new(),
+            arrived_at: HashMap::new(),
             requests: 0,
-            served: 0,
+            served_in_time: 0,
         }
     }
 
-    /// Runs the simulation to its end.
-    pub fn run(mut self) -> SlowStartOutcome {
+    /// Runs the simulation to its end and returns the results.
+    pub fn run(mut self) -> SlowStartReport {
         for gateway in 0..self.world.gateways {
             self.send_list(0.0, gateway, EndpointUpdate::Complete, false);
             let notified_at = START + self.world.notified_within * (0.1 + 0.9 * self.rng.uniform());
@@ -120,7 +127,7 @@
             }
             self.apply(now, event, mean_interarrival);
         }
-        self.outcome()
+        self.report()
     }
 
     fn schedule(&mut self, at: Millis, event: FleetEvent) {
@@ -128,7 +135,7 @@
         self.queue.schedule(at, SequencedEvent { sequence: self.next_sequence, event });
     }
 
-    /// Mean time between requests outside of bursts, ms.
+    /// Mean time between requests outside the burst, in ms.
     fn mean_interarrival(&self) -> Millis {
         let sizes: f64 = self.servers.iter().map(|server| server.size).sum();
         let capacity = sizes * CORES as f64 / MEAN_WORK;
@@ -152,6 +159,7 @@
         }
     }
 
+    /// Passes a new request to a random gateway and schedules the next arrival.
     fn arrival(&mut self, now: Millis, mean_interarrival: Millis) {
         let burst = if now > START + BURST_AFTER { self.world.burst } else { 1.0 };
         let wait = self.rng.exponential(mean_interarrival / burst);
@@ -160,7 +168,7 @@
         let gateway = self.traffic.partition_point(|share| *share < drawn).min(self.world.gateways - 1);
         self.requests += 1;
         let id = RequestId(self.requests);
-        self.arrived.insert(self.request_key(gateway, id), now);
+        self.arrived_at.insert(self.request_key(gateway, id), now);
         let request = Request {
             id,
             tenant: TenantId(u64::from(self.requests) % TENANTS),
@@ -177,17 +185,18 @@
         RequestKey { gateway, incarnation: self.incarnations[gateway], id }
     }
 
-    /// The servers that will start lose their connections, if the list names them at all.
+    /// Takes the starting servers down and resets their connections. New servers have none yet.
     fn stop_servers(&mut self, now: Millis) {
         if self.world.known_before {
             self.phase = ServerPhase::Down;
         }
-        let lost = self.attempts.in_flight_at(|server| self.world.is_starting(server));
-        for number in lost {
+        let reset_attempts = self.attempts.in_flight_at(|server| self.world.is_starting(server));
+        for number in reset_attempts {
             self.end_and_notify(now, number, Outcome::Reset);
         }
     }
 
+    /// Starts the starting servers and, depending on the world, restarts all gateways.
     fn start_servers(&mut self, now: Millis) {
         self.phase = ServerPhase::Started;
         for server in &mut self.servers[..self.world.starting] {
@@ -205,7 +214,8 @@
         }
     }
 
-    /// Sends a gateway the list as it is since the start, or as it was before.
+    /// Sends a gateway the endpoint list: if `current`, the list that shows the servers' start, otherwise the
+    /// list from before the start.
     fn send_list(&mut self, now: Millis, gateway: usize, update: EndpointUpdate, current: bool) {
         self.notified[gateway] |= current;
         let mut entries = self.entries(current);
@@ -228,7 +238,7 @@
         (first..world.servers).map(entry).collect()
     }
 
-    /// Feeds an event to a gateway, and the ends of attempts that it cancels.
+    /// Passes an event to a gateway, followed by the ends of the attempts that the gateway cancels.
     fn handle(&mut self, now: Millis, gateway: usize, event: Event) {
         let mut pending = VecDeque::from([event]);
         while let Some(event) = pending.pop_front() {
@@ -240,7 +250,7 @@
         }
     }
 
-    /// Executes an action; the event of an attempt that it ends at once.
+    /// Executes an action and returns the end of the attempt if the action cancels one.
     fn execute(&mut self, now: Millis, gateway: usize, action: Action) -> Option<Event> {
         match action {
             Action::Forward { id, server, timeout } => {
@@ -303,20 +313,21 @@
         if self.world.is_starting(server) {
             self.phase != ServerPhase::Down
         } else {
-            !self.world.warm_servers_are_lost(now)
+            !self.world.warm_servers_are_unreachable(now)
         }
     }
 
     fn serve(&mut self, now: Millis, number: u64, server: usize, work: f64) {
-        let speed = self.servers[server].size * self.warm_fraction(server, now);
+        let speed = self.servers[server].size * self.capacity_fraction(server, now);
         let (at, outcome) = match self.servers[server].enqueue(now, work, speed) {
-            Some(done) => (done + RESPONSE_LATENCY, Outcome::Ok),
+            Some(completed_at) => (completed_at + RESPONSE_LATENCY, Outcome::Ok),
             None => (now + REJECTION_LATENCY, Outcome::Rejected),
         };
         self.schedule(at, FleetEvent::AttemptEnded { number, outcome });
     }
 
-    /// Ends an attempt that is in flight, unless its gateway has restarted since.
+    /// Ends an attempt in flight and returns the event for its gateway. Returns `None` if the attempt has
+    /// already ended or its gateway has restarted since.
     fn end_attempt(&mut self, now: Millis, number: u64, outcome: Outcome) -> Option<GatewayEvent> {
         let InFlightAttempt { key, server, sent_at } = self.attempts.remove(number)?;
         let RequestKey { gateway, incarnation, id } = key.request;
@@ -324,8 +335,8 @@
             return None;
         }
         let served = outcome == Outcome::Ok;
-        if served && now - self.arrived[&key.request] <= SERVED_WITHIN {
-            self.served += 1;
+        if served && now - self.arrived_at[&key.request] <= SERVED_WITHIN {
+            self.served_in_time += 1;
         }
         let event = Event::AttemptEnded {
             id,
@@ -344,38 +355,39 @@
         }
     }
 
-    /// The share of its capacity that a server has.
-    fn warm_fraction(&self, server: usize, now: Millis) -> f64 {
+    /// The share of its full capacity that a server has at `now`.
+    fn capacity_fraction(&self, server: usize, now: Millis) -> f64 {
         if !self.world.is_starting(server) || now < START - DOWNTIME {
             return 1.0;
         }
-        let warmed = ((now - START) / self.settings.slow_start_window).clamp(0.0, 1.0);
-        let at_start = self.settings.slow_start_capacity;
-        at_start + (1.0 - at_start) * warmed
+        let window_fraction = ((now - START) / self.settings.slow_start_window).clamp(0.0, 1.0);
+        let initial_capacity = self.settings.slow_start_capacity;
+        initial_capacity + (1.0 - initial_capacity) * window_fraction
     }
 
-    /// Requests of mean work that a server can do in a millisecond.
+    /// Number of requests of mean work that a server can complete per millisecond at `now`.
     fn capacity(&self, server: usize, now: Millis) -> f64 {
-        self.servers[server].size * CORES as f64 / MEAN_WORK * self.warm_fraction(server, now)
+        self.servers[server].size * CORES as f64 / MEAN_WORK * self.capacity_fraction(server, now)
     }
 
-    fn outcome(&self) -> SlowStartOutcome {
-        let served = f64::from(self.served) / f64::from(self.requests);
-        let mut outcome = SlowStartOutcome { served, ..SlowStartOutcome::default() };
+    fn report(&self) -> SlowStartReport {
+        let served_fraction = f64::from(self.served_in_time) / f64::from(self.requests);
+        let mut report = SlowStartReport { served_fraction, ..SlowStartReport::default() };
         let mut received = 0.0;
         let mut capacity = 0.0;
         for (index, server) in self.servers[..self.world.starting].iter().enumerate() {
             let at_both_ends = self.capacity(index, START) + self.capacity(index, self.world.end());
             capacity += self.world.duration * at_both_ends / 2.0;
             received += server.received.len() as f64;
-            outcome.add_windows(&self.world, server, &|at| self.capacity(index, at));
+            report.add_windows(&self.world, server, &|at| self.capacity(index, at));
         }
-        outcome.share = received / capacity;
-        outcome
+        report.utilization = received / capacity;
+        report
     }
 }
 
-/// Cumulative shares of the traffic: some gateways get several times what others do.
+/// Random cumulative shares of the traffic over the gateways. Some gateways get several times as much as
+/// others.
 fn cumulative_traffic(gateways: usize, rng: &mut SeededRng) -> Vec<f64> {
     let mut sum = 0.0;
     let mut traffic = Vec::new();
--- a/tests/slow_start/server.rs
+++ b/tests/slow_start/server.rs
@@ -1,61 +1,63 @@
-//! A simulated server: its queue, and what came to it since it started.
+//! A simulated server with its queue and a record of the requests that it received.
 
 use rate_limiting_gateway::ids::Millis;
 use std::collections::VecDeque;
 
-/// Mean work of a request on a warm server of size 1, ms.
+/// Mean time that a request takes on one core of a warm server of size 1, in ms.
 pub const MEAN_WORK: Millis = 80.0;
-/// Requests that a server works on side by side.
+/// Number of requests that a server executes in parallel.
 pub const CORES: usize = 2;
-/// Requests that a server holds before it rejects further ones.
+/// Number of requests, executing or waiting, at which a server rejects further ones.
 const QUEUE_LENGTH: usize = 40;
 
-/// A request that came to a server since its start.
+/// A request that a starting server received after its start.
 pub struct ReceivedRequest {
     pub at: Millis,
-    /// Its work as a multiple of the mean.
+    /// Work of the request, as a multiple of [`MEAN_WORK`].
     pub work: f64,
-    /// Its gateway had been notified of the start.
+    /// Whether the request's gateway had been notified of the server's start.
     pub gateway_notified: bool,
 }
 
-/// A server with its queue.
+/// A simulated server.
 pub struct SimulatedServer {
-    /// Capacity beside the others'.
+    /// Capacity relative to that of a server of size 1.
     pub size: f64,
+    /// When each core has finished the requests assigned to it, in ms.
     core_free_at: [Millis; CORES],
-    /// When each request that it holds will be done, in order.
-    completions: VecDeque<Millis>,
+    /// Completion times of the requests that the server holds, in ascending order.
+    completion_times: VecDeque<Millis>,
+    /// Requests received since the server's start, if it is a starting server.
     pub received: Vec<ReceivedRequest>,
 }
 
 impl SimulatedServer {
-    /// An idle server.
+    /// An idle server of the given size.
     pub fn new(size: f64) -> Self {
         let core_free_at = [0.0; CORES];
-        SimulatedServer { size, core_free_at, completions: VecDeque::new(), received: Vec::new() }
+        SimulatedServer { size, core_free_at, completion_times: VecDeque::new(), received: Vec::new() }
     }
 
-    /// Starts anew, with nothing in its queue.
+    /// Restarts the server with an empty queue.
     pub fn restart(&mut self, now: Millis) {
         self.core_free_at = [now; CORES];
-        self.completions.clear();
+        self.completion_times.clear();
     }
 
-    /// Takes a request whose work is a multiple of the mean, at a speed of 1 for a warm server of size 1.
-    /// Returns when it will be done; none if the queue is full.
+    /// Adds a request to the queue and returns its completion time, or `None` if the queue is full. `work` is
+    /// a multiple of [`MEAN_WORK`], and `speed` is 1 for a warm server of size 1.
     pub fn enqueue(&mut self, now: Millis, work: f64, speed: f64) -> Option<Millis> {
-        while self.completions.front().is_some_and(|done| *done <= now) {
-            self.completions.pop_front();
+        while self.completion_times.front().is_some_and(|completed_at| *completed_at <= now) {
+            self.completion_times.pop_front();
         }
-        if self.completions.len() >= QUEUE_LENGTH {
+        if self.completion_times.len() >= QUEUE_LENGTH {
             return None;
         }
         let core = if self.core_free_at[0] <= self.core_free_at[1] { 0 } else { 1 };
-        let done = self.core_free_at[core].max(now) + work * MEAN_WORK / speed;
-        self.core_free_at[core] = done;
-        let index = self.completions.partition_point(|other| *other < done);
-        self.completions.insert(index, done);
-        Some(done)
+        let completed_at = self.core_free_at[core].max(now) + work * MEAN_WORK / speed;
+        self.core_free_at[core] = completed_at;
+        let index = self.completion_times.partition_point(|other| *other < completed_at);
+        self.completion_times.insert(index, completed_at);
+        Some(completed_at)
     }
 }
--- a/tests/slow_start/world.rs
+++ b/tests/slow_start/world.rs
@@ -1,59 +1,65 @@
-//! A deployment, its settings and what befalls it.
+//! A simulated deployment, its settings, and the changes and faults that it undergoes.
 
 use rate_limiting_gateway::ids::Millis;
 use rate_limiting_gateway::settings::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 
-/// The starting servers start at this time, ms.
+/// Time at which the starting servers start, in ms.
 pub const START: Millis = 3000.0;
-/// How long they have been down by then, ms.
+/// How long the starting servers are down before they start, in ms.
 pub const DOWNTIME: Millis = 700.0;
 
 /// What happens to the gateways when the servers start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GatewayRestart {
-    /// They run on.
+    /// The gateways keep running.
     None,
-    /// All restart with the present list.
+    /// All gateways restart with the current endpoint list.
     WithCompleteList,
-    /// All restart with the list as it was before.
+    /// All gateways restart with the endpoint list from before the servers' start.
     WithCachedList,
 }
 
-/// A deployment and what befalls it.
+/// A simulated deployment with its traffic, changes and faults.
 #[derive(Clone)]
 pub struct World {
+    /// Number of gateways.
     pub gateways: usize,
+    /// Number of servers.
     pub servers: usize,
-    /// The first of the servers start; the others are warm.
+    /// Number of starting servers. They have the lowest indices; all other servers are warm.
     pub starting: usize,
-    /// Zones of equal size, one after the other.
+    /// Number of zones, each of which contains about the same number of consecutive servers.
     pub zones: usize,
-    /// The starting servers have been in the list before; else they join.
+    /// Whether the endpoint list contained the starting servers before their start. Otherwise they are new.
     pub known_before: bool,
-    /// Work requested, as a share of what all servers could do warm.
+    /// Requested work as a share of the capacity of all servers when warm.
     pub load: f64,
-    /// The servers' sizes spread around 1 by this factor; the list shows them.
+    /// The servers' sizes vary around 1 by up to this factor. The endpoint list has the sizes as weights.
     pub size_spread: f64,
-    /// Each gateway is notified of the start within this time after it, ms.
+    /// Maximum time from the servers' start until a gateway is notified of it, in ms.
     pub notified_within: Millis,
+    /// What happens to the gateways when the servers start.
     pub gateway_restart: GatewayRestart,
-    /// From so long after the start on no connection to a warm server comes up, ms; none: they all do.
-    pub warm_servers_lost_after: Option<Millis>,
-    /// Factor of the traffic once the burst has begun.
+    /// Time from the servers' start until all warm servers become unreachable, in ms. With `None` they stay
+    /// reachable.
+    pub warm_servers_unreachable_after: Option<Millis>,
+    /// Factor on the traffic after the burst has begun.
     pub burst: f64,
-    /// The share of all attempts that fail, in five ways.
+    /// Share of all attempts that fail, in one of five ways.
     pub fault_rate: f64,
-    /// Share of its capacity that a server has at its start.
+    /// Share of its full capacity that a server has when it starts.
     pub slow_start_capacity: f64,
-    /// A server is overloaded by more than `overload_factor` times its work within this window, ms.
+    /// Length of the window over which the requests to a starting server are counted, in ms.
     pub overload_window: Millis,
+    /// Factor on the work that a starting server can complete in the window. A server is overloaded by more
+    /// than that, plus a margin for random variation.
     pub overload_factor: f64,
-    /// How long is simulated from the start on, ms.
+    /// Simulated time after the servers' start, in ms.
     pub duration: Millis,
 }
 
 impl World {
-    /// The usual traffic before so many servers, of which the first start.
+    /// A deployment with the default traffic and without faults, in which the first `starting` servers start.
     pub fn new(gateways: usize, servers: usize, starting: usize) -> Self {
         World {
             gateways,
@@ -65,7 +71,7 @@
             size_spread: 1.0,
             notified_within: 1500.0,
             gateway_restart: GatewayRestart::None,
-            warm_servers_lost_after: None,
+            warm_servers_unreachable_after: None,
             burst: 1.0,
             fault_rate: 0.0,
             slow_start_capacity: 0.2,
@@ -75,22 +81,22 @@
         }
     }
 
-    /// When the simulation ends, ms.
+    /// When the simulation ends, in ms.
     pub fn end(&self) -> Millis {
         START + self.duration
     }
 
-    /// Whether a server, by its index, is one that starts.
+    /// Whether the server with this index is a starting server.
     pub fn is_starting(&self, server: usize) -> bool {
         server < self.starting
     }
 
-    /// Whether connections to warm servers come up no more.
-    pub fn warm_servers_are_lost(&self, now: Millis) -> bool {
-        self.warm_servers_lost_after.is_some_and(|after| now > START + after)
+    /// Whether the warm servers are unreachable at `now`.
+    pub fn warm_servers_are_unreachable(&self, now: Millis) -> bool {
+        self.warm_servers_unreachable_after.is_some_and(|after| now > START + after)
     }
 
-    /// Settings of each gateway.
+    /// The settings of the gateways.
     pub fn settings(&self) -> Settings {
         let class = |latency_objective, idempotency| Class {
             latency_objective,
@@ -99,12 +105,12 @@
             idempotency,
             ..Class::default()
         };
-        let zonal = Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 1500.0 };
+        let zone_key = Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 1500.0 };
         Settings {
             gateway_count: self.gateways as f64,
             classes: vec![
                 class(800.0, Idempotency::Idempotent),
-                class(1000.0, zonal),
+                class(1000.0, zone_key),
                 class(800.0, Idempotency::NonIdempotent),
             ],
             plans: vec![Plan { priority_multiplier: 1.0, ..Plan::default() }],
