--- a/src/net/client/request_handler.rs
+++ b/src/net/client/request_handler.rs
@@ -7,7 +7,7 @@
 use super::request_error::RequestError;
 use super::request_parser::{check_body, check_framing, origin_form, validate_head};
 use super::response::{self, ClientResponse};
-use crate::net::event_loop::{Answer, Arrival, EventLoop};
+use crate::net::event_loop::{Answer, EventLoop, IncomingRequest};
 use crate::net::socket::is_closed_by_peer;
 use crate::net::upstream::ForwardedRequest;
 use hyper::body::Incoming;
@@ -94,13 +94,14 @@
         };
         connection.record_request(self.event_loop.now());
         let client = Rc::downgrade(connection.stream());
-        let answer = self.admit(Arrival { request: validated.request, forward, client }, connection).await;
+        let answer =
+            self.admit(IncomingRequest { request: validated.request, forward, client }, connection).await;
         Ok(response::from_answer(answer))
     }
 
     /// Hands a request to the event loop and waits for its answer. If the client disconnects meanwhile, the
     /// connection's task drops this future, and the guard reports it.
-    async fn admit(&self, arrival: Arrival, connection: &Connection) -> Answer {
+    async fn admit(&self, arrival: IncomingRequest, connection: &Connection) -> Answer {
         let (id, answer) = self.event_loop.submit(arrival);
         let disconnect_guard = DisconnectGuard::new(&self.event_loop, id);
         let answer = match answer.await {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -42,7 +42,7 @@
 const CONNECTION_CHECK_INTERVAL: Millis = 500.0;
 
 /// A request that was read completely.
-pub struct Arrival {
+pub struct IncomingRequest {
     /// The request as the policy sees it; the event loop assigns its id.
     pub request: Request,
     /// What is sent to a server.
@@ -249,8 +249,8 @@
     // ---- Requests -----------------------------------------------------------------------------
 
     /// Takes on a request. Exactly one answer arrives on the channel, unless the client leaves before.
-    pub fn submit(self: &Rc<Self>, arrival: Arrival) -> (RequestId, oneshot::Receiver<Answer>) {
-        let Arrival { mut request, forward, client } = arrival;
+    pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> (RequestId, oneshot::Receiver<Answer>) {
+        let IncomingRequest { mut request, forward, client } = incoming;
         let deadline = self.now() + request.time_left;
         let (pending, answer) = PendingRequest::new(forward, client, deadline);
         let id = self.requests.borrow_mut().insert(pending);
