--- a/src/net/supervisor.rs
+++ b/src/net/supervisor.rs
@@ -28,5 +28,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/tasks.rs"]
+#[path = "../../tests/unit/supervisor.rs"]
 mod tests;
