--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,12 +1,13 @@
-//! The clock that all gateways share.
+//! The Unix time that the gateway's decisions are based on.
 
 use crate::ids::Millis;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time that never runs backwards: read from the system once, and advanced by the monotonic clock.
+/// A clock of Unix time that never runs backwards: it reads the system clock once and then advances with the
+/// monotonic clock.
 ///
-/// Counter keys are derived from the time, so gateways need a common epoch; a system clock that is set back
-/// while the process runs must not reach them.
+/// Counter keys are derived from the time, so all gateways need a common epoch. If the system clock is set
+/// back while the process runs, this clock and the counter keys must not follow it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_at_start: Millis,
@@ -14,18 +15,18 @@
 }
 
 impl Clock {
-    /// A clock that starts at the system's present time.
+    /// Starts a clock at the current system time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { unix_at_start: unix.as_secs_f64() * 1000.0, start: Instant::now() }
     }
 
-    /// The present Unix time, ms.
+    /// The current Unix time, ms.
     pub fn now(&self) -> Millis {
         self.unix_at_start + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The monotonic time at Unix time `at`, ms; the start of the clock for an earlier time.
+    /// Converts Unix time `at`, ms, to monotonic time. A time before the clock's start becomes that start.
     pub fn instant_at(&self, at: Millis) -> Instant {
         self.start + Duration::from_secs_f64(((at - self.unix_at_start) / 1000.0).max(0.0))
     }
--- a/src/net/connection_limits.rs
+++ b/src/net/connection_limits.rs
@@ -1,33 +1,36 @@
-//! How many connections the limits of the process allow.
+//! Derives the maximum number of connections from the file descriptor and memory limits of the process.
 
 use crate::config::Limits;
 
-/// File descriptors for all that is no client's or server's connection: the counter's connections (twice as
-/// many while it moves), discovery's, the listener and the runtime's own.
+/// Number of file descriptors reserved for everything except client and server connections: the connections
+/// to the counter (twice as many while the gateway moves to a new counter address), the connection to
+/// discovery, the listener and the descriptors of the runtime.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Share of the connections that clients get; servers get the rest. A request needs a connection to a server,
-/// and a hedged one a second.
+/// Share of the connections that clients get; servers get the rest. A request needs one connection to a
+/// server, and a hedged request needs two.
 const CLIENT_SHARE: f64 = 0.5;
-/// Share of the memory limit that connections may take in the worst case.
+/// Share of the memory limit that all connections together may use in the worst case.
 const MEMORY_SHARE: f64 = 0.6;
-/// What one connection takes in the worst case, MB: its buffers, and the body of a request and of a response.
+/// Memory, MB, that one connection uses in the worst case: its buffers, one request body and one response
+/// body.
 const CONNECTION_MEMORY_MB: f64 = 0.16;
-/// Bounds of the number of connections to clients and servers together, whatever the limits.
+/// Lower bound of the number of client and server connections together, whatever the process limits are.
 const MIN_CONNECTIONS: usize = 16;
+/// Upper bound of the number of client and server connections together, whatever the process limits are.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// The most connections that may be open at a time.
+/// The maximum numbers of connections that may be open at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// To clients.
+    /// Maximum number of connections from clients.
     pub max_clients: usize,
-    /// To servers.
+    /// Maximum number of connections to servers.
     pub max_upstream: usize,
 }
 
 impl ConnectionLimits {
-    /// What the file descriptors and the memory of the process allow.
-    pub fn within(limits: Limits) -> Self {
+    /// Calculates the connection limits from the file descriptors and the memory that the process may use.
+    pub fn from_process_limits(limits: Limits) -> Self {
         let by_memory = (limits.memory_mb * MEMORY_SHARE / CONNECTION_MEMORY_MB).max(0.0) as usize;
         let by_descriptors = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS);
         let total = by_descriptors.min(by_memory).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS);
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! Addresses and states of the servers, as discovery reports them.
+//! Keeps the address and state of each server that discovery reports.
 
 use super::discovery::{EndpointEntry, EndpointList};
 use crate::event::{Endpoint, EndpointState, EndpointUpdate};
@@ -8,58 +8,59 @@
 use std::net::{AddrParseError, SocketAddr};
 use thiserror::Error;
 
-/// Zone of a server whose zone is not in the configuration.
+/// Zone number of a server whose zone is not in the configuration.
 const UNKNOWN_ZONE: u16 = u16::MAX;
 
-/// Why an entry of a server list is ignored.
+/// The reason why an entry of a server list is ignored.
 #[derive(Debug, Error)]
 pub enum EndpointError {
-    /// The entry is not of the agreed form.
-    #[error("malformed: {0}")]
+    /// The entry is not JSON of the expected form.
+    #[error("malformed entry: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The entry's state is none that is known.
-    #[error("{id} is in unknown phase {phase:?}")]
+    /// The entry's phase is unknown.
+    #[error("server {id} has unknown phase {phase:?}")]
     UnknownPhase {
         /// The server's id in the list.
         id: String,
-        /// The state as it stands in the list.
+        /// The phase as the list gives it.
         phase: String,
     },
-    /// Another server has the same number.
-    #[error("{id} has the number {} of {other}", server.0)]
-    NumberCollision {
+    /// Another server with the same [`ServerId`] is already registered.
+    #[error("server {id} has the same numeric id {} as the registered server {other}", server.0)]
+    ServerIdCollision {
         /// The server's id in the list.
         id: String,
-        /// The number of both.
+        /// The numeric id of both servers.
         server: ServerId,
-        /// The id of the server that was there before.
+        /// The list id of the server that was registered first.
         other: String,
     },
-    /// The entry has no address that can be read.
-    #[error("{id} has no address: {source}")]
-    NoAddress {
+    /// The entry has no valid address.
+    #[error("server {id} has no valid address: {source}")]
+    InvalidAddress {
         /// The server's id in the list.
         id: String,
-        /// Why its address cannot be read.
+        /// Why the address cannot be parsed.
         source: AddrParseError,
     },
 }
 
 impl EndpointError {
-    /// A collision lasts until one of the servers is renamed, and one of them gets no requests until then.
+    /// A collision is logged as an error: it lasts until one of the two servers is renamed, and one of them
+    /// gets no requests until then.
     fn log_level(&self) -> Level {
         match self {
-            EndpointError::NumberCollision { .. } => Level::Error,
+            EndpointError::ServerIdCollision { .. } => Level::Error,
             _ => Level::Warn,
         }
     }
 }
 
-/// What a server list says, in terms of the policy.
+/// A server list, decoded for the policy.
 pub struct DecodedList {
-    /// The entries that could be read.
+    /// The entries that were decoded.
     pub endpoints: Vec<Endpoint>,
-    /// No entry was ignored. Otherwise the registry may lack a change.
+    /// Whether all entries were decoded. If one was ignored, the registry may lack a change.
     pub complete: bool,
 }
 
@@ -70,41 +71,41 @@
     ready: bool,
 }
 
-/// The servers that discovery has named and not withdrawn.
+/// The servers that discovery has listed and not removed since.
 pub struct EndpointRegistry {
     zones: Vec<String>,
     endpoints: HashMap<ServerId, RegisteredEndpoint>,
 }
 
 impl EndpointRegistry {
-    /// A registry without servers. A zone's number is its place in `zones`.
+    /// Creates an empty registry. The number of a zone is its index in `zones`.
     pub fn new(zones: Vec<String>) -> Self {
         EndpointRegistry { zones, endpoints: HashMap::new() }
     }
 
-    /// Whether no server is known.
+    /// Whether no server is registered.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Whether a server is known and takes new requests.
+    /// Whether a server is registered and accepts new requests.
     pub fn is_ready(&self, server: ServerId) -> bool {
         self.endpoints.get(&server).is_some_and(|endpoint| endpoint.ready)
     }
 
-    /// Where a known server listens.
+    /// The address of a registered server.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.endpoints.get(&server).map(|endpoint| endpoint.address)
     }
 
-    /// Takes in a list. Entries that cannot be used are logged and ignored.
+    /// Applies a list from discovery. Entries that cannot be decoded are logged and ignored.
     pub fn apply(&mut self, list: &EndpointList<'_>, update: EndpointUpdate) -> DecodedList {
         let mut decoded = DecodedList { endpoints: Vec::new(), complete: true };
         for member in list.members() {
             match member.map_err(EndpointError::from).and_then(|member| self.register(&member)) {
                 Ok(endpoint) => decoded.endpoints.push(endpoint),
                 Err(error) => {
-                    log::log!(error.log_level(), "discovery entry ignored: {error}");
+                    log::log!(error.log_level(), "discovery: ignored one entry of the server list: {error}");
                     decoded.complete = false;
                 }
             }
@@ -121,7 +122,7 @@
         let state = decode_state(member)?;
         if let Some(other) = self.endpoints.get(&server).filter(|other| other.id != member.id) {
             let (id, other) = (member.id.to_string(), other.id.clone());
-            return Err(EndpointError::NumberCollision { id, server, other });
+            return Err(EndpointError::ServerIdCollision { id, server, other });
         }
         if state == EndpointState::Removed {
             self.endpoints.remove(&server);
@@ -141,7 +142,8 @@
         })
     }
 
-    /// The address of an entry. A drain takes effect without one too: a known server then keeps its address.
+    /// Parses the address of an entry. If a draining server's entry has no valid address, a server that is
+    /// registered keeps its address, so that the drain still takes effect.
     fn decode_address(
         &self,
         member: &EndpointEntry<'_>,
@@ -150,7 +152,7 @@
     ) -> Result<SocketAddr, EndpointError> {
         let known = if ready { None } else { self.address(server) };
         member.host_port.parse().or_else(|source| {
-            known.ok_or_else(|| EndpointError::NoAddress { id: member.id.to_string(), source })
+            known.ok_or_else(|| EndpointError::InvalidAddress { id: member.id.to_string(), source })
         })
     }
 
@@ -169,8 +171,8 @@
     }
 }
 
-/// The number of a server, the same at every gateway: the eight hexadecimal digits that end its id after a
-/// hyphen, or else the 32-bit FNV-1a hash of the id.
+/// Derives the numeric id of a server, which is the same at every gateway: the eight hexadecimal digits after
+/// the last hyphen of its id in the list, or else the 32-bit FNV-1a hash of that id.
 fn server_id(id: &str) -> ServerId {
     const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
     const FNV_PRIME: u32 = 0x0100_0193;
--- a/src/net/logging.rs
+++ b/src/net/logging.rs
@@ -1,14 +1,15 @@
-//! The log of the gateway process: lines on standard error.
+//! The logger of the gateway process, which writes lines to standard error at a limited rate.
 
 use log::{Level, LevelFilter, Log, Metadata, Record};
 use std::io::Write;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Further lines are dropped: a fault that repeats must not fill the disk with its log.
+/// Maximum number of lines logged per second. Further lines are dropped, so that a recurring fault does not
+/// fill the disk.
 const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// The lines that were logged since a moment.
+/// Counts the lines logged since the start of the current one-second window.
 struct RateWindow {
     start: Instant,
     lines: u32,
@@ -19,7 +20,7 @@
         RateWindow { start: Instant::now(), lines: 0 }
     }
 
-    /// Counts a line; false if it is one too many.
+    /// Counts a line and returns whether it may be written.
     fn admit_line(&mut self) -> bool {
         if self.start.elapsed() > Duration::from_secs(1) {
             *self = RateWindow::starting_now();
@@ -44,7 +45,7 @@
         }
         let Ok(mut window) = self.window.lock() else { return };
         if window.admit_line() {
-            // A log that cannot be written has nowhere to be reported.
+            // A failure to write the log cannot be reported anywhere, so it is ignored.
             let _ = writeln!(std::io::stderr(), "{} {}", record.level(), record.args());
         }
     }
@@ -52,7 +53,7 @@
     fn flush(&self) {}
 }
 
-/// Logs from now on; a logger that was set before stays.
+/// Installs the logger. A logger that was installed before stays in place.
 pub fn init() {
     let logger = StderrLogger { window: Mutex::new(RateWindow::starting_now()) };
     if log::set_boxed_logger(Box::new(logger)).is_ok() {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,11 +1,11 @@
-//! The gateway on its sockets.
+//! The network side of the gateway: its sockets, timers and process lifecycle.
 //!
-//! - [`event_loop`] turns what happens on the sockets into events of the policy, and executes its actions. It owns the
-//!   [`request_table`], the [`endpoint_registry`], the [`timer_queue`] and the [`clock`].
-//! - [`client`], [`upstream`], [`counter`] and [`discovery`] hold the connections to one kind of peer each, and report
-//!   to the event loop as an [`event_sink`].
-//! - [`serve`] starts all of these; [`signals`], [`shutdown`], [`connection_limits`], [`logging`] and [`supervisor`]
-//!   are about the process.
+//! - [`event_loop`] passes events from the sockets to the policy and executes the policy's actions. It owns
+//!   the [`request_table`], the [`endpoint_registry`], the [`timer_queue`] and the [`clock`].
+//! - [`client`], [`upstream`], [`counter`] and [`discovery`] each hold the connections to one kind of peer,
+//!   and report to the event loop through an [`event_sink`].
+//! - [`serve`] starts all of these modules. [`signals`], [`shutdown`], [`connection_limits`], [`logging`] and
+//!   [`supervisor`] handle the gateway process itself.
 
 pub mod client;
 pub mod clock;
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -63,7 +63,7 @@
 
 impl RunningGateway {
     fn start(config: Config, config_path: String) -> Result<Self, ServeError> {
-        let limits = ConnectionLimits::within(config.limits);
+        let limits = ConnectionLimits::from_process_limits(config.limits);
         let event_loop = EventLoop::new(&config, limits.max_upstream);
         event_loop.start();
         let discovery = start_discovery(&config, &event_loop);
--- a/tests/unit/endpoint_registry.rs
+++ b/tests/unit/endpoint_registry.rs
@@ -1,10 +1,10 @@
-//! Server lists as they are registered.
+//! How the registry applies server lists.
 
 use super::*;
 
 fn apply(registry: &mut EndpointRegistry, members: &str, update: EndpointUpdate) -> DecodedList {
     let text = format!("{{\"revision\":1,\"members\":[{members}]}}");
-    let list: EndpointList<'_> = serde_json::from_str(&text).expect("a list");
+    let list: EndpointList<'_> = serde_json::from_str(&text).expect("the server list is not valid JSON");
     registry.apply(&list, update)
 }
 
@@ -16,14 +16,14 @@
 const DRAINING: &str = r#"{"id":"s-0000000a","phase":"Terminating"}"#;
 
 #[test]
-fn a_server_is_known_by_the_number_at_the_end_of_its_id_or_by_a_hash_of_it() {
+fn a_numeric_server_id_is_the_hex_suffix_of_the_list_id_or_else_its_hash() {
     assert_eq!(server_id("web-0000000a"), ServerId(10));
-    assert_eq!(server_id("a"), ServerId(0xe40c_292c), "FNV-1a of one byte");
+    assert_eq!(server_id("a"), ServerId(0xe40c_292c), "not the FNV-1a hash of a one-byte id");
     assert_ne!(server_id("node/1"), server_id("node/2"));
 }
 
 #[test]
-fn a_drain_without_an_address_keeps_the_known_address() {
+fn a_draining_entry_without_an_address_keeps_the_registered_address() {
     let mut registry = registry();
     let decoded = apply(&mut registry, READY, EndpointUpdate::Complete);
     assert!(decoded.complete && registry.is_ready(ServerId(10)));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn entries_that_cannot_be_used_are_ignored_and_reported() {
+fn invalid_entries_are_ignored_and_mark_the_list_incomplete() {
     for entry in [
         DRAINING,
         r#"{"id":"s-0000000b"}"#,
@@ -44,12 +44,15 @@
     ] {
         let mut registry = registry();
         let decoded = apply(&mut registry, entry, EndpointUpdate::Incremental);
-        assert!(!decoded.complete && decoded.endpoints.is_empty() && registry.is_empty(), "{entry}");
+        assert!(
+            !decoded.complete && decoded.endpoints.is_empty() && registry.is_empty(),
+            "an invalid entry was applied: {entry}"
+        );
     }
 }
 
 #[test]
-fn a_server_with_the_number_of_another_is_ignored() {
+fn a_server_with_the_numeric_id_of_a_registered_one_is_ignored() {
     let mut registry = registry();
     let other = READY.replace("s-0000000a", "t-0000000a").replace("127.0.0.1:9", "127.0.0.1:8");
     let decoded = apply(&mut registry, &format!("{READY},{other}"), EndpointUpdate::Complete);
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn only_an_incremental_list_keeps_servers_that_it_does_not_name() {
+fn only_an_incremental_list_keeps_servers_that_are_missing_from_it() {
     for (update, kept) in [
         (EndpointUpdate::Incremental, true),
         (EndpointUpdate::Complete, false),
