--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! One gateway process: serves clients on sockets with the decisions of [`rate_limiting_gateway`].
+//! The gateway program: serves clients on sockets as the policy of [`rate_limiting_gateway`] decides.
 
 use rate_limiting_gateway::config::{Config, ConfigError};
 use rate_limiting_gateway::net::logging;
@@ -7,17 +7,17 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// Names the configuration file.
-const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// The configuration file where [`CONFIG_VARIABLE`] is not set.
+/// Environment variable that holds the path of the configuration file.
+const CONFIG_PATH_VARIABLE: &str = "PROXY_CONFIG";
+/// Path of the configuration file if [`CONFIG_PATH_VARIABLE`] is not set.
 const DEFAULT_CONFIG_PATH: &str = "/run/balancer/config.json";
 
-/// Why the process ends with a failure.
+/// The reason why the process ends with a failure.
 #[derive(Debug, Error)]
 enum ProcessError {
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] std::io::Error),
     #[error(transparent)]
     Serve(#[from] ServeError),
@@ -30,19 +30,20 @@
     match serve_until_shutdown() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::error!("gateway failed: {error}");
+            log::error!("gateway process is exiting with a failure: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 fn serve_until_shutdown() -> Result<(), ProcessError> {
-    let config_path = std::env::var(CONFIG_VARIABLE).unwrap_or_else(|_| DEFAULT_CONFIG_PATH.to_owned());
+    let config_path = std::env::var(CONFIG_PATH_VARIABLE).unwrap_or_else(|_| DEFAULT_CONFIG_PATH.to_owned());
     let config = Config::load(&config_path)?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ProcessError::Runtime)?;
     let local = tokio::task::LocalSet::new();
-    // A task of its own: the future that is blocked on is polled each time any task wakes.
+    // The gateway runs as a spawned task: the future passed to `block_on` would be polled each time any task
+    // wakes.
     let serving = local.spawn_local(serve(config, config_path));
     local.block_on(&runtime, serving)??;
     Ok(())
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,8 +1,9 @@
-//! Passes what happens on the sockets to the policy, in order, and executes the actions that it asks for.
+//! Passes the events of the sockets and timers to the policy in order, and executes the actions that the
+//! policy returns.
 //!
-//! A process has one [`EventLoop`], on one thread. Every change enters by [`EventLoop::dispatch`]. Executing
-//! an action may bring up the next event at once; events are therefore queued, and the policy sees one only
-//! after the actions of the event before it have been executed.
+//! A process has one [`EventLoop`], on one thread. Events are passed to [`EventLoop::dispatch`]. Executing an
+//! action may produce another event at once, so events are queued: the policy gets an event only after the
+//! actions of the previous event have been executed.
 
 use super::clock::Clock;
 use super::counter::{CompletedCall, CounterClient, Increment};
@@ -32,42 +33,43 @@
 
 pub use super::request_table::Answer;
 
-/// The policy sees a deadline this much earlier, ms: a client counts its deadline from when it sent the
-/// request, and a response needs time to reach it.
+/// Time, ms, by which the policy's deadline for a request is earlier than the client's: the client counts its
+/// deadline from the moment it sent the request, and the response needs time to reach it.
 const RESPONSE_MARGIN: Millis = 20.0;
-/// A request that has no answer this long before its deadline, ms, is answered as timed out by the event
-/// loop. Less than [`RESPONSE_MARGIN`], so that the policy has its turn first.
+/// Time, ms, before a request's deadline at which the event loop answers the request as timed out if it has
+/// no answer yet. It is shorter than [`RESPONSE_MARGIN`], so that the policy can answer the request first.
 const DEADLINE_MARGIN: Millis = 8.0;
-/// Between two checks of connections to servers and the counter, ms.
+/// Time, ms, between two checks of the connections to servers and to the counter.
 const CONNECTION_CHECK_INTERVAL: Millis = 500.0;
 
-/// A request that was read completely.
+/// A client request that has been read completely.
 pub struct IncomingRequest {
     /// The request as the policy sees it; the event loop assigns its id.
     pub request: Request,
-    /// What is sent to a server.
+    /// The request that is sent to a server.
     pub forward: ForwardedRequest,
-    /// The client's connection, which closes when the task that serves it drops it.
+    /// The client's connection, which closes when the task that serves it drops its reference.
     pub client: Weak<TcpStream>,
 }
 
-/// The policy and the actions it has asked for.
+/// The policy and the actions that it has returned.
 struct Policy {
     gateway: Gateway,
-    /// Filled by the gateway while it handles an event.
-    decided: Vec<Action>,
-    /// Actions to execute.
-    pending: VecDeque<Action>,
+    /// The actions that the gateway returns for the event that it is handling.
+    new_actions: Vec<Action>,
+    /// Actions that have not been executed yet.
+    pending_actions: VecDeque<Action>,
 }
 
 impl Policy {
     fn handle(&mut self, now: Millis, event: Event) {
-        self.gateway.handle(now, event, &mut self.decided);
-        self.pending.extend(self.decided.drain(..));
+        self.gateway.handle(now, event, &mut self.new_actions);
+        self.pending_actions.extend(self.new_actions.drain(..));
     }
 }
 
-/// The one owner of the policy, and of all that its actions are executed on.
+/// Owns the policy and everything that the policy's actions operate on: requests, endpoints, timers and
+/// connections.
 pub struct EventLoop {
     clock: Clock,
     names: Names,
@@ -77,20 +79,21 @@
     policy: RefCell<Policy>,
     requests: RefCell<RequestTable>,
     endpoints: RefCell<EndpointRegistry>,
-    /// Events that the policy has not seen.
+    /// Events that the policy has not handled yet.
     events: RefCell<VecDeque<Event>>,
-    /// [`run_until_idle`](Self::run_until_idle) is on the stack; it takes up what is enqueued meanwhile.
+    /// Whether [`run_until_idle`](Self::run_until_idle) is on the call stack. That call also handles the
+    /// events that are enqueued meanwhile.
     running: Cell<bool>,
     timers: TimerQueue,
     ready: Cell<bool>,
-    /// Connections to servers.
+    /// The connections to servers.
     pub pool: ConnectionPool,
     counter: Rc<CounterClient>,
 }
 
 impl EventLoop {
-    /// An event loop that knows the server list in the configuration, if there is one, and opens at most
-    /// `max_upstream_connections` to servers.
+    /// Creates an event loop that opens at most `max_upstream_connections` connections to servers. It starts
+    /// with the server list in the configuration, if there is one.
     pub fn new(config: &Config, max_upstream_connections: usize) -> Rc<Self> {
         let counter_call_timeout = counter_call_timeout(&config.settings);
         let gateway = Gateway::new(config.settings.clone(), config.seed);
@@ -100,7 +103,11 @@
             settings: config.settings.clone(),
             drain_grace: Duration::from_secs_f64(config.drain_grace / 1000.0),
             counter_call_timeout,
-            policy: RefCell::new(Policy { gateway, decided: Vec::new(), pending: VecDeque::new() }),
+            policy: RefCell::new(Policy {
+                gateway,
+                new_actions: Vec::new(),
+                pending_actions: VecDeque::new(),
+            }),
             requests: RefCell::default(),
             endpoints: RefCell::new(EndpointRegistry::new(config.names.zones.clone())),
             events: RefCell::default(),
@@ -121,24 +128,24 @@
         event_loop
     }
 
-    /// Starts the tasks that run the timers and the counter's connections for the life of the process.
+    /// Starts the tasks that run the timers and the connections to the counter for the life of the process.
     pub fn start(self: &Rc<Self>) {
         self.counter.start(self);
         let event_loop = self.clone();
         keep_running("timers", move || event_loop.clone().run_timers());
     }
 
-    /// The present Unix time, ms; never runs backwards.
+    /// The current Unix time, ms; it never runs backwards.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// The counter service.
+    /// The client of the counter service.
     pub fn counter(&self) -> &CounterClient {
         &self.counter
     }
 
-    /// Names of classes, plans and zones.
+    /// The names of classes, plans and zones.
     pub fn names(&self) -> &Names {
         &self.names
     }
@@ -148,30 +155,31 @@
         &self.settings
     }
 
-    /// How long after the notice of a drain a server may still be sent new requests.
+    /// How long new requests may still be sent to a server after discovery reports that it is draining.
     pub fn drain_grace(&self) -> Duration {
         self.drain_grace
     }
 
-    /// Whether the gateway can serve: [`set_ready`](Self::set_ready) was called and a server is known.
+    /// Whether the gateway can serve requests: [`set_ready`](Self::set_ready) was called and a server is
+    /// registered.
     pub fn is_ready(&self) -> bool {
         self.ready.get() && !self.endpoints.borrow().is_empty()
     }
 
-    /// From now on the gateway serves with the server list that it has.
+    /// Lets the gateway report itself ready with its current server list.
     pub fn set_ready(&self) {
         self.ready.set(true);
     }
 
-    /// Requests that have no final answer yet.
+    /// Number of requests that have no final answer yet.
     pub fn requests_in_flight(&self) -> usize {
         self.requests.borrow().incomplete().count()
     }
 
-    // ---- Events in, actions out ---------------------------------------------------------------
+    // ---- Events and actions -------------------------------------------------------------------
 
-    /// Passes an event to the policy and executes the actions that follow. Called while another event is
-    /// handled, it only enqueues the event.
+    /// Passes an event to the policy and executes the actions that the policy returns. If another event is
+    /// being handled, this only enqueues the event.
     pub fn dispatch(self: &Rc<Self>, event: Event) {
         self.enqueue(event);
         self.run_until_idle();
@@ -181,27 +189,27 @@
         self.events.borrow_mut().push_back(event);
     }
 
-    /// Handles events until none is left.
+    /// Handles events until the queues are empty.
     ///
-    /// A panic while one event is handled must not end the task that dispatched it, a client's connection or
-    /// the timers, nor lose what is queued: it is caught and logged here, the queues hold all that was not
-    /// begun, and a request whose arrival was being handled is answered as failed.
+    /// A panic while an event is handled must not end the task that dispatched the event (a client connection
+    /// or the timers) and must not lose queued events. The panic is therefore caught and logged here: events
+    /// and actions not yet begun stay queued, and if the event was a new request, it is answered as failed.
     fn run_until_idle(self: &Rc<Self>) {
         if self.running.replace(true) {
             return;
         }
         loop {
             let event = self.events.borrow_mut().pop_front();
-            if event.is_none() && self.policy.borrow().pending.is_empty() {
+            if event.is_none() && self.policy.borrow().pending_actions.is_empty() {
                 break;
             }
-            let arrived = match &event {
+            let new_request = match &event {
                 Some(Event::Request(request)) => Some(request.id),
                 _ => None,
             };
             if catch_unwind(AssertUnwindSafe(|| self.step(event))).is_err() {
-                log::error!("panic while an event was handled");
-                if let Some(id) = arrived {
+                log::error!("event loop: handling an event panicked; continuing with the next event");
+                if let Some(id) = new_request {
                     self.answer(id, Answer::Failed);
                 }
             }
@@ -209,13 +217,13 @@
         self.running.set(false);
     }
 
-    /// Passes one event to the policy and executes all pending actions.
+    /// Passes an event to the policy, if there is one, and executes all pending actions.
     fn step(self: &Rc<Self>, event: Option<Event>) {
         if let Some(event) = event {
             self.policy.borrow_mut().handle(self.now(), event);
         }
         loop {
-            let action = self.policy.borrow_mut().pending.pop_front();
+            let action = self.policy.borrow_mut().pending_actions.pop_front();
             let Some(action) = action else { break };
             self.execute(action);
         }
@@ -233,7 +241,7 @@
             }
             Action::IncrementCounter { key, add, ttl } => self.increment_counter(key, add, ttl),
             Action::Timer { after, token } => self.timers.arm(self.now() + after, TimerKind::Policy(token)),
-            // Discovery pushes its changes to this gateway, and the policy asks for no health check.
+            // Discovery pushes its changes to this gateway, and the policy requests no health checks.
             Action::WatchEndpoints | Action::HealthCheck(_) => {}
         }
     }
@@ -248,7 +256,8 @@
 
     // ---- Requests -----------------------------------------------------------------------------
 
-    /// Takes on a request. Exactly one answer arrives on the channel, unless the client leaves before.
+    /// Registers a request and passes it to the policy. Exactly one answer is sent on the returned channel,
+    /// unless the client disconnects first.
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let IncomingRequest { mut request, forward, client } = incoming;
         let deadline = self.now() + request.time_left;
@@ -265,34 +274,35 @@
         self.requests.borrow_mut().answer(id, answer);
     }
 
-    /// The client has disconnected; its request needs no answer any more.
+    /// Handles the disconnect of a client, whose request no longer needs an answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
         if let Some(responder) = responder {
-            // Before the policy hears of it: the client's task is woken first, and closes its connection.
+            // The responder is dropped before the policy handles the disconnect, so that the client's task is
+            // woken first and closes its connection.
             drop(responder);
-            self.withdraw(id);
+            self.cancel_request(id);
         }
     }
 
-    /// Tells the policy that a request needs no decision any more.
-    fn withdraw(self: &Rc<Self>, id: RequestId) {
+    /// Reports a request to the policy as disconnected, so that the policy does no further work for it.
+    fn cancel_request(self: &Rc<Self>, id: RequestId) {
         self.dispatch(Event::ClientDisconnected(id));
         self.requests.borrow_mut().remove_if_finished(id);
     }
 
-    /// Guards against a policy that leaves a request without an answer: the client would wait until its own
-    /// deadline and see a connection without a response. It is answered while it still waits.
+    /// Answers a request as timed out if it has no answer shortly before its deadline. This guards against a
+    /// policy that leaves a request unanswered: the client would wait until its deadline and get no response.
     fn enforce_deadline(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
         let Some(responder) = responder else { return };
-        // A client that has just left needs no answer.
+        // Sending fails if the client has just disconnected; it then needs no answer.
         let _ = responder.send(Answer::TimedOut);
-        self.withdraw(id);
+        self.cancel_request(id);
     }
 
     /// Answers all requests that have no answer yet as timed out, at the end of a shutdown.
-    pub fn time_out_all(self: &Rc<Self>) {
+    pub fn time_out_all_requests(self: &Rc<Self>) {
         let incomplete: Vec<RequestId> = self.requests.borrow().incomplete().collect();
         for id in incomplete {
             self.enforce_deadline(id);
@@ -301,8 +311,8 @@
 
     // ---- Servers ------------------------------------------------------------------------------
 
-    /// Takes in a server list from discovery. False where an entry was ignored: the change it stands for is
-    /// unknown.
+    /// Applies a server list from discovery. Returns false if an invalid entry was ignored, since the change
+    /// that it describes is then unknown.
     pub fn endpoints_changed(self: &Rc<Self>, list: &EndpointList<'_>) -> bool {
         let update = if list.complete { EndpointUpdate::Complete } else { EndpointUpdate::Incremental };
         let complete = self.update_endpoints(list, update);
@@ -310,7 +320,7 @@
         complete
     }
 
-    /// Whether a server may be sent new requests.
+    /// Whether new requests may be sent to a server.
     pub fn accepts_requests(&self, server: ServerId) -> bool {
         self.endpoints.borrow().is_ready(server)
     }
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of the event loop: how one starts, what keeps it from starting, and how its end is reported.
+//! How the event loop starts attempts, checks that they may start, and reports their ends to the policy.
 
 use super::{Answer, EventLoop, RESPONSE_MARGIN};
 use crate::event::{Event, Outcome};
@@ -12,7 +12,8 @@
 use std::rc::Rc;
 
 impl EventLoop {
-    /// Starts an attempt; one that cannot be made ends at once. Without a time-out it ends with its request.
+    /// Starts an attempt. An attempt that cannot be made ends at once. An attempt without a timeout may last
+    /// until `RESPONSE_MARGIN` before the deadline of its request.
     pub(super) fn start_attempt(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Option<Millis>) {
         let now = self.now();
         let mut requests = self.requests.borrow_mut();
@@ -26,13 +27,14 @@
                 elapsed: 0.0,
             });
         };
-        // The end of an attempt without a number cannot be reported; its request is answered at its deadline.
+        // The end of an attempt without a number cannot be reported to the policy; the request is answered at
+        // its deadline at the latest.
         let Some(number) = request.start_attempt(server, now) else { return };
         let attempt = AttemptId { request: id, number };
         match self.prepare_attempt(request, attempt, server, timeout, now) {
-            Ok(job) => {
-                let timeout_at = job.ends;
-                let task = tokio::task::spawn_local(upstream::attempt(self.clone(), job));
+            Ok(spec) => {
+                let timeout_at = spec.ends;
+                let task = tokio::task::spawn_local(upstream::attempt(self.clone(), spec));
                 request.set_task(number, task.abort_handle());
                 self.timers.arm(timeout_at, TimerKind::Attempt(attempt));
             }
@@ -43,7 +45,8 @@
         }
     }
 
-    /// Checks that an attempt can be made. The error is how it ends otherwise.
+    /// Checks that an attempt can be made, and returns its specification. The error is the outcome of an
+    /// attempt that cannot be made.
     fn prepare_attempt(
         &self,
         request: &PendingRequest,
@@ -72,15 +75,15 @@
         })
     }
 
-    /// Whether an attempt may begin. Asked again when its first byte is about to be written: by then the
-    /// server may have begun to drain or the client may have left, and not every deployment lets the policy
-    /// cancel attempts.
+    /// Checks whether an attempt may begin. This is called again just before the first byte of the attempt is
+    /// written: by then the server may have begun to drain or the client may have disconnected, and not every
+    /// deployment lets the policy cancel attempts.
     ///
-    /// The client's socket itself is asked. On a busy machine hundreds of tasks may be scheduled before the
-    /// one that would report its close, and each of them may begin an attempt.
+    /// The check reads the state of the client's socket directly. On a busy machine hundreds of tasks may run
+    /// before the task that reports the client's disconnect, and each of them may begin an attempt.
     ///
     /// # Errors
-    /// How the attempt ends if it may not begin.
+    /// The outcome of the attempt if it may not begin.
     pub fn check_may_begin(self: &Rc<Self>, id: RequestId, server: ServerId) -> Result<(), Outcome> {
         let client = self.requests.borrow().waiting_client(id);
         let client = client.ok_or(Outcome::NotSent)?;
@@ -96,8 +99,8 @@
         }
     }
 
-    /// An attempt has ended on its socket. The end of an attempt that had ended before, by its time-out or by
-    /// cancellation, is ignored.
+    /// Handles the end of an attempt that its task reports. The report is ignored if the attempt has already
+    /// ended by its timeout or by cancellation.
     pub fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>) {
         let attempt = AttemptId { request: id, number: attempt };
         if !self.requests.borrow().is_in_flight(attempt) {
@@ -110,14 +113,14 @@
         self.finish_attempt(attempt, outcome);
     }
 
-    /// Ends an attempt in response to an event on a socket or a timer.
+    /// Ends an attempt because of a socket event or a timer, and lets the policy handle its end at once.
     pub(super) fn finish_attempt(self: &Rc<Self>, attempt: AttemptId, outcome: Outcome) {
         self.end_attempt(attempt, outcome);
         self.run_until_idle();
         self.requests.borrow_mut().remove_if_finished(attempt.request);
     }
 
-    /// Ends an attempt and enqueues its end for the policy.
+    /// Ends an attempt and enqueues the event of its end for the policy.
     pub(super) fn end_attempt(&self, attempt: AttemptId, outcome: Outcome) {
         let event = self.requests.borrow_mut().end_attempt(attempt, outcome, self.now());
         if let Some(event) = event {
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -1,4 +1,4 @@
-//! Requests that await their final answer, and the attempts made for them.
+//! The requests that have no final answer yet or have attempts in flight.
 
 use super::upstream::ForwardedRequest;
 use crate::event::{Event, Outcome};
@@ -15,14 +15,14 @@
 pub enum Answer {
     /// A server's response body, unchanged.
     Served(Bytes),
-    /// Rejected; a retry by the client is harmless.
+    /// The request was rejected; the client may safely retry it.
     Rejected {
-        /// When a retry makes sense, ms from now; 0: none is given.
+        /// Time, ms, after which the client should retry; 0 if no time is given.
         retry_after: Millis,
     },
-    /// Failed; may have been executed.
+    /// The request failed; a server may have executed it.
     Failed,
-    /// The deadline has passed; may have been executed.
+    /// The request was not answered by its deadline; a server may have executed it.
     TimedOut,
 }
 
@@ -35,16 +35,16 @@
     pub number: u8,
 }
 
-/// A request that has its final answer, or no client any more, is complete; it stays in the table until its
-/// last attempt has ended.
+/// A request in the table. A request is complete when it has its final answer or its client has disconnected.
+/// A complete request stays in the table until its last attempt has ended.
 pub struct PendingRequest {
-    /// Where the final answer goes; none once the request is complete.
+    /// The channel for the final answer; `None` once the request is complete.
     responder: Option<oneshot::Sender<Answer>>,
-    /// What is sent to a server.
+    /// The request that is sent to a server.
     pub forward: Rc<ForwardedRequest>,
     /// The client's connection.
     pub client: Weak<TcpStream>,
-    /// When the client gives up; Unix time, ms.
+    /// The time at which the client stops waiting; Unix time, ms.
     pub deadline: Millis,
     attempts: Vec<Attempt>,
 }
@@ -53,12 +53,12 @@
     server: ServerId,
     started: Millis,
     in_flight: bool,
-    /// The task that makes the attempt, while it may have to be aborted.
+    /// The task that makes the attempt, as long as the end of the attempt has to abort it.
     task: Option<AbortHandle>,
 }
 
 impl PendingRequest {
-    /// A request without attempts, and where its final answer arrives.
+    /// Creates a request without attempts, and returns the channel on which its final answer arrives.
     pub fn new(
         forward: ForwardedRequest,
         client: Weak<TcpStream>,
@@ -75,32 +75,33 @@
         (request, answer)
     }
 
-    /// Whether it needs no answer any more: it was answered, or its client has left.
+    /// Whether the request no longer needs an answer: it was answered, or its client has disconnected.
     pub fn is_complete(&self) -> bool {
         self.responder.is_none()
     }
 
-    /// Records an attempt that starts at `now`, and returns its number. None if there are too many to be
-    /// numbered.
+    /// Records an attempt that starts at `now`, and returns its number, or `None` if the request already has
+    /// 256 attempts, the most that can be numbered.
     pub fn start_attempt(&mut self, server: ServerId, now: Millis) -> Option<u8> {
         let number = u8::try_from(self.attempts.len()).ok();
         self.attempts.push(Attempt { server, started: now, in_flight: true, task: None });
         number
     }
 
-    /// Keeps the task that makes an attempt, so that the end of the attempt aborts it.
+    /// Stores the task that makes an attempt, so that the end of the attempt aborts the task.
     pub fn set_task(&mut self, attempt: u8, task: AbortHandle) {
         if let Some(attempt) = self.attempts.get_mut(usize::from(attempt)) {
             attempt.task = Some(task);
         }
     }
 
+    /// Whether the request can be removed from the table.
     fn is_finished(&self) -> bool {
         self.is_complete() && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 }
 
-/// The requests by id.
+/// The requests, by their ids.
 #[derive(Default)]
 pub struct RequestTable {
     requests: HashMap<RequestId, PendingRequest>,
@@ -108,7 +109,7 @@
 }
 
 impl RequestTable {
-    /// Adds a request under a free id. Ids wrap around.
+    /// Adds a request under an unused id, and returns that id. Ids wrap around.
     pub fn insert(&mut self, request: PendingRequest) -> RequestId {
         while self.requests.contains_key(&RequestId(self.next_id)) {
             self.next_id = self.next_id.wrapping_add(1);
@@ -119,59 +120,60 @@
         id
     }
 
-    /// A request, also a complete one.
+    /// Returns a request, whether or not it is complete.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// The client's connection of a request that is not complete.
+    /// Returns the client's connection of a request that is not complete.
     pub fn waiting_client(&self, id: RequestId) -> Option<Weak<TcpStream>> {
         let request = self.requests.get(&id).filter(|request| !request.is_complete())?;
         Some(request.client.clone())
     }
 
-    /// Requests that are not complete.
+    /// The ids of all requests that are not complete.
     pub fn incomplete(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.iter().filter(|(_, request)| !request.is_complete()).map(|(id, _)| *id)
     }
 
-    /// Gives a request its final answer, unless it is complete.
+    /// Sends a request its final answer, unless the request is complete.
     pub fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(responder) = self.complete(id) {
-            // A client that has just left needs no answer; the end of its connection is an event of its own.
+            // Sending fails if the client has just disconnected. The client then needs no answer, and its
+            // disconnect is reported as a separate event.
             let _ = responder.send(answer);
         }
         self.remove_if_finished(id);
     }
 
-    /// Completes a request. Returns where its answer goes, or none if it was complete before.
+    /// Completes a request. Returns the channel for its answer, or `None` if it was already complete.
     pub fn complete(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
         self.requests.get_mut(&id)?.responder.take()
     }
 
-    /// Removes a request that is complete and has no attempt in flight.
+    /// Removes a request if it is complete and has no attempt in flight.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(PendingRequest::is_finished) {
             self.requests.remove(&id);
         }
     }
 
-    /// Whether an attempt has not ended.
+    /// Whether an attempt exists and has not ended.
     pub fn is_in_flight(&self, id: AttemptId) -> bool {
         let attempts = self.requests.get(&id.request).map(|request| &request.attempts);
         attempts.and_then(|all| all.get(usize::from(id.number))).is_some_and(|attempt| attempt.in_flight)
     }
 
-    /// Lets go of an attempt's task, so that the end of the attempt does not abort it: the task itself
-    /// reports that end.
+    /// Forgets an attempt's task, so that the end of the attempt does not abort the task. This is used when
+    /// the task itself reports that end.
     pub fn detach_task(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempt_mut(id) {
             attempt.task = None;
         }
     }
 
-    /// Ends an attempt at `now` and aborts its task, which closes its connection. Returns the event for the
-    /// policy, or none if the attempt had ended before.
+    /// Ends an attempt at `now` and aborts its task, which closes the attempt's connection. Returns the event
+    /// for the policy, or `None` if the attempt had ended already.
     pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, now: Millis) -> Option<Event> {
         let complete = self.requests.get(&id.request)?.is_complete();
         let attempt = self.attempt_mut(id).filter(|attempt| attempt.in_flight)?;
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway process on its sockets: start, reload of the configuration, graceful shutdown.
+//! The lifecycle of a gateway process: startup, configuration reload and graceful shutdown.
 
 use super::client::ClientListener;
 use super::connection_limits::ConnectionLimits;
@@ -17,32 +17,33 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Without a server list from discovery the gateway serves with the cached one after this.
+/// Time after startup at which the gateway becomes ready with its cached server list if discovery has sent
+/// none yet.
 const INITIAL_LIST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why the gateway cannot serve.
+/// The reason why the gateway cannot start to serve.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// A signal handler cannot be installed.
-    #[error("signal handler: {0}")]
+    #[error("cannot install a signal handler: {0}")]
     Signals(#[source] io::Error),
-    /// The configured address cannot be listened on.
-    #[error("listen on {address}: {source}")]
+    /// The gateway cannot listen on the configured address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Serves until SIGTERM or SIGINT, and then until what was accepted is answered. On SIGHUP the configuration
-/// at `config_path` is read again. Needs a [`LocalSet`](tokio::task::LocalSet).
+/// Serves until SIGTERM or SIGINT arrives and the graceful shutdown that it starts is complete. On SIGHUP the
+/// gateway reads the configuration at `config_path` again. Must run in a [`LocalSet`](tokio::task::LocalSet).
 ///
 /// # Errors
-/// When the gateway cannot start to serve.
+/// Returns an error if the gateway cannot start to serve.
 pub async fn serve(config: Config, config_path: String) -> Result<(), ServeError> {
-    // Before anything else: a signal that arrives while it has no handler ends the process.
+    // The handlers are installed before anything else: a signal without a handler would end the process.
     let mut signals = ControlSignals::install().map_err(ServeError::Signals)?;
     let mut gateway = RunningGateway::start(config, config_path)?;
     while signals.next().await == ControlSignal::Reload {
@@ -67,18 +68,19 @@
         let event_loop = EventLoop::new(&config, limits.max_upstream);
         event_loop.start();
         let discovery = start_discovery(&config, &event_loop);
-        limit_wait_for_list(event_loop.clone());
+        become_ready_after_timeout(event_loop.clone());
         let clients = ClientListener::new(event_loop.clone(), limits.max_clients);
         let address = start_listener(&clients, config.listen)
             .map_err(|source| ServeError::Listen { address: config.listen, source })?;
-        // Whoever starts the process may wait for this line to learn the address: its form is an interface.
+        // The program that starts this process may read the address from this line, so its format must not
+        // change.
         log::info!("{} serves {address}", config.name);
         let max_deadline = config.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
         Ok(RunningGateway { config_path, event_loop, clients, discovery, max_deadline })
     }
 
-    /// Takes over the addresses of discovery and the counter; all other settings need a restart. A file that
-    /// cannot be read or is invalid changes nothing.
+    /// Reads the configuration file again and applies the addresses of discovery and the counter; all other
+    /// settings need a restart. A file that cannot be read or is invalid changes nothing.
     fn reload(&mut self) {
         match Config::load(&self.config_path) {
             Ok(config) => {
@@ -90,33 +92,36 @@
                 self.discovery.move_to(&self.event_loop, config.discovery);
                 self.event_loop.counter().move_to(config.counter);
             }
-            Err(error) => log::error!("configuration reload rejected: {error}"),
+            Err(error) => {
+                log::error!("configuration reload failed, keeping the previous configuration: {error}")
+            }
         }
     }
 
-    /// Ends when all that was accepted has its answer, or when the time for it is up.
+    /// Shuts down gracefully. Returns when all accepted requests are answered or the time for that has run
+    /// out.
     async fn shut_down(mut self, signals: &mut ControlSignals) {
         let start = Instant::now();
         let (event_loop, clients) = (self.event_loop.clone(), self.clients.clone());
         log::info!(
-            "shutting down: {} connections, {} requests in flight",
+            "shutting down: finishing {} client connections with {} requests in flight",
             clients.connection_count(),
             event_loop.requests_in_flight()
         );
         clients.start_draining();
         let schedule = ShutdownSchedule::new(start, self.max_deadline);
-        let mut finished = pin!(shutdown::finish_requests(&event_loop, &clients, schedule));
+        let mut finish = pin!(shutdown::finish_requests(&event_loop, &clients, schedule));
         loop {
             tokio::select! {
-                () = finished.as_mut() => break,
+                () = finish.as_mut() => break,
                 signal = signals.next() => match signal {
                     ControlSignal::Reload => self.reload(),
-                    // The shutdown goes on: what was accepted still needs its answer.
+                    // The shutdown continues: accepted requests still need their answers.
                     ControlSignal::Shutdown => {}
                 },
             }
         }
-        log::info!("shutdown complete after {} ms", start.elapsed().as_millis());
+        log::info!("shutdown completed after {} ms", start.elapsed().as_millis());
     }
 }
 
@@ -129,22 +134,24 @@
     WatcherHandle::start(event_loop, config.discovery, known_revision, limits)
 }
 
-/// Serves with the cached server list if discovery has none in time.
-fn limit_wait_for_list(event_loop: Rc<EventLoop>) {
+/// Makes the gateway ready with its cached server list if discovery sends no list within
+/// [`INITIAL_LIST_TIMEOUT`].
+fn become_ready_after_timeout(event_loop: Rc<EventLoop>) {
     tokio::task::spawn_local(async move {
         tokio::time::sleep(INITIAL_LIST_TIMEOUT).await;
         event_loop.set_ready();
     });
 }
 
-/// Accepts clients for the life of the process, also during a shutdown: when a listener closes, the
-/// connections that wait to be accepted are reset and their requests lost. Returns the address listened on.
+/// Starts the tasks that accept clients and close idle connections, and returns the address that the gateway
+/// listens on. The listener stays open for the life of the process, also during a shutdown: closing it would
+/// reset the connections that wait to be accepted, and their requests would be lost.
 fn start_listener(clients: &Rc<ClientListener>, address: SocketAddr) -> io::Result<SocketAddr> {
     let listener = Rc::new(listen(address)?);
     let address = listener.local_addr()?;
-    let accepting = clients.clone();
-    keep_running("accept", move || accepting.clone().accept(listener.clone()));
-    let reaping = clients.clone();
-    keep_running("idle reaper", move || reaping.clone().reap_idle());
+    let acceptor = clients.clone();
+    keep_running("accept", move || acceptor.clone().accept(listener.clone()));
+    let reaper = clients.clone();
+    keep_running("idle reaper", move || reaper.clone().reap_idle());
     Ok(address)
 }
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,9 +1,9 @@
-//! The signals that control the gateway process.
+//! Handles the signals that control the gateway process.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a signal asks for.
+/// The operation that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlSignal {
     /// SIGHUP: read the configuration again.
@@ -12,7 +12,7 @@
     Shutdown,
 }
 
-/// Handlers of the control signals.
+/// The installed handlers of the control signals.
 pub struct ControlSignals {
     hangup: Signal,
     terminate: Signal,
@@ -23,7 +23,7 @@
     /// Installs the handlers.
     ///
     /// # Errors
-    /// When the system refuses a handler.
+    /// Returns an error if the operating system refuses a handler.
     pub fn install() -> io::Result<Self> {
         Ok(ControlSignals {
             hangup: signal(SignalKind::hangup())?,
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Waits for the next signal. Dropped before it is ready, it loses none.
+    /// Waits for the next signal. Dropping the returned future before it is ready loses no signal.
     pub async fn next(&mut self) -> ControlSignal {
         tokio::select! {
             _ = self.terminate.recv() => ControlSignal::Shutdown,
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,17 +1,18 @@
-//! Sockets below the runtime: how one is opened for clients, and what the kernel knows of one.
+//! Socket operations that the runtime does not offer: opens the client listener and checks whether a peer has
+//! closed its connection.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that may wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// Listens on an address. Connections that a process before has left behind there do not delay it.
+/// Listens on an address, even if a previous process has left connections in TIME_WAIT on it.
 ///
 /// # Errors
-/// When the system refuses the address.
+/// Returns an error if the operating system refuses the address.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -19,13 +20,13 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Whether the peer has closed its connection, closed its sending side or reset it, whatever waits to be read
-/// on it.
+/// Whether the peer has closed the connection, closed its sending side or reset the connection, even if
+/// unread bytes remain.
 ///
-/// The kernel is asked, as the runtime may not have seen the event yet.
+/// This polls the kernel, since the runtime may not have processed the event yet.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
-    // A reset is reported without being asked for. Where the kernel cannot tell, the end of the connection
-    // will.
+    // The kernel reports a reset even if it is not among the requested events. If the poll fails, the peer
+    // counts as connected, and the runtime reports the end of the connection later.
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
     matches!(poll(&mut polled, Some(&Timespec::default())), Ok(1..))
 }
--- a/src/net/supervisor.rs
+++ b/src/net/supervisor.rs
@@ -1,25 +1,26 @@
-//! Restarts the tasks that the gateway needs for its whole life.
+//! Restarts the tasks that the gateway needs for the life of the process.
 
 use std::future::Future;
 use std::time::Duration;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Pause before a task that has panicked is restarted, so that one that panics at once does not spin.
+/// Pause before a task that has panicked is restarted, so that a task that panics at once does not restart in
+/// a busy loop.
 const RESTART_DELAY: Duration = Duration::from_millis(20);
 
-/// Runs the task that `start` returns, and restarts it each time it panics, until it ends by itself or the
-/// returned handle is aborted. Needs a [`LocalSet`](tokio::task::LocalSet).
+/// Runs the future that `start` returns as a task, and starts a new one each time the task panics, until the
+/// task completes or the returned handle is aborted. Must be called in a [`LocalSet`](tokio::task::LocalSet).
 pub fn keep_running<F>(name: &'static str, start: impl Fn() -> F + 'static) -> AbortHandle
 where
     F: Future<Output = ()> + 'static,
 {
     let supervise = async move {
-        // Dropped with this future, the set aborts the task: aborting the supervision alone would leave it
-        // running.
+        // The set is dropped with this future and then aborts the task. If the task were spawned directly, it
+        // would keep running after its supervisor is aborted.
         let mut task = JoinSet::new();
         task.spawn_local(start());
         while let Some(Err(error)) = task.join_next().await {
-            log::error!("task {name} ended, restarting: {error}");
+            log::error!("task {name} panicked, restarting it in {RESTART_DELAY:?}: {error}");
             tokio::time::sleep(RESTART_DELAY).await;
             task.spawn_local(start());
         }
--- a/src/net/timer_queue.rs
+++ b/src/net/timer_queue.rs
@@ -1,4 +1,4 @@
-//! Timers of the event loop, in the order in which they are due.
+//! The timers of the event loop, ordered by the time at which they are due.
 
 use super::clock::Clock;
 use super::request_table::AttemptId;
@@ -8,23 +8,23 @@
 use std::collections::BinaryHeap;
 use tokio::sync::Notify;
 
-/// What is to be done when a timer fires. Timers due at the same microsecond fire in the order of the
-/// variants.
+/// The action to take when a timer fires. Timers that are due in the same microsecond fire in the order of
+/// these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
-    /// A timer that the policy asked for; the token goes back to it.
+    /// A timer that the policy requested; the token is passed back to the policy.
     Policy(u64),
-    /// The time-out of an attempt.
+    /// The timeout of an attempt.
     Attempt(AttemptId),
     /// The deadline of a request.
     Deadline(RequestId),
-    /// The time-out of a call to the counter service, by the call's number.
+    /// The timeout of a call to the counter service, identified by the call's id.
     CounterCall(u64),
-    /// The periodic check of idle connections.
+    /// The periodic check of the connections to servers and to the counter.
     ConnectionCheck,
 }
 
-/// Unix time in whole microseconds: unlike [`Millis`] it has a total order.
+/// Unix time in whole microseconds. Unlike [`Millis`], it has a total order.
 type Micros = u64;
 
 fn to_micros(at: Millis) -> Micros {
@@ -41,11 +41,11 @@
     kind: TimerKind,
 }
 
-/// Armed timers. A timer is never disarmed: whoever handles it checks whether it still matters.
+/// The armed timers. A timer cannot be disarmed: the code that handles it checks whether it still applies.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: RefCell<BinaryHeap<Reverse<Timer>>>,
-    /// Wakes [`next`](TimerQueue::next) when a timer is due before the one it sleeps for.
+    /// Wakes [`next`](TimerQueue::next) when a timer is armed that is due before all others.
     earlier_timer: Notify,
 }
 
@@ -59,7 +59,7 @@
         self.timers.borrow_mut().push(Reverse(Timer { due, kind }));
     }
 
-    /// Waits for the next timer that is due and removes it. For one caller at a time.
+    /// Waits until a timer is due, removes it and returns its kind. Only one caller may wait at a time.
     pub async fn next(&self, clock: &Clock) -> TimerKind {
         loop {
             match self.next_due() {
--- a/tests/unit/timer_queue.rs
+++ b/tests/unit/timer_queue.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn an_earlier_timer_wakes_the_wait_for_a_later_one() {
+async fn arming_an_earlier_timer_wakes_the_wait_for_a_later_one() {
     let clock = Clock::start();
     let timers = Rc::new(TimerQueue::default());
     timers.arm(clock.now() + 60_000.0, TimerKind::ConnectionCheck);
