--- a/capacity/src/deployment.rs
+++ b/capacity/src/deployment.rs
@@ -86,7 +86,7 @@
             max_attempts: 3,
             cancellation_allowed: true,
             max_retry_after: 1000.0,
-            counter: true,
+            counter_enabled: true,
             counter_timeout: 30.0,
             slow_start_capacity: 0.2,
             slow_start_window: 10_000.0,
--- a/capacity/src/memory.rs
+++ b/capacity/src/memory.rs
@@ -132,7 +132,7 @@
     fn new(tenants: usize, servers: usize) -> Self {
         // A fleet of one gateway, whose concurrency limit allows all requests to be in flight at once.
         let deployment = Deployment { gateways: 1, tenants, servers, ..Deployment::default() };
-        let settings = Settings { counter: false, ..deployment.settings() };
+        let settings = Settings { counter_enabled: false, ..deployment.settings() };
         MemoryBench {
             demand: deployment.demand(),
             gateway: gateway_with_list(&deployment, settings, 1),
--- a/capacity/src/simulated_fleet/fleet.rs
+++ b/capacity/src/simulated_fleet/fleet.rs
@@ -254,7 +254,7 @@
         let Some(call) = self.counter.accept(self.now, key, add) else {
             return CallEnd { result: CallResult::Rejected, elapsed: COUNTER_LATENCY, total: 0.0 };
         };
-        let elapsed = call.begins - self.now + COUNTER_LATENCY;
+        let elapsed = call.starts_at - self.now + COUNTER_LATENCY;
         if elapsed > self.counter_timeout {
             let elapsed = self.counter_timeout;
             return CallEnd { result: CallResult::TimedOut, elapsed, total: call.total };
--- a/src/config/settings_reader.rs
+++ b/src/config/settings_reader.rs
@@ -26,7 +26,7 @@
         hedging_allowed: values.flag("ceilings.parallel_tries"),
         cancellation_allowed: values.flag("ceilings.cancelling"),
         max_retry_after: values.number("ceilings.max_retry_after", 0.0)?,
-        counter: values.flag("family_info.shared_counter"),
+        counter_enabled: values.flag("family_info.shared_counter"),
         counter_timeout: values.number("family_info.counter_timeout", 0.0)?,
         poll_endpoints: values.text("discovery") == Some("on_request"),
         slow_start_capacity: values.number("safety.start_capacity", 1.0)?,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Quota admission: whether a request that has not been forwarded yet may be, must wait, or is rejected.
 
-use super::request::InFlightRequest;
+use super::request::TrackedRequest;
 use super::tenant::{Tenant, Usage};
 use crate::ids::Millis;
 
@@ -22,7 +22,7 @@
 /// attempts in flight is checked for tenants counted in batches only.
 pub(super) fn admit(
     now: Millis,
-    in_flight: &mut InFlightRequest,
+    in_flight: &mut TrackedRequest,
     tenant: &mut Tenant,
     roll: f64,
 ) -> Admission {
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -7,7 +7,7 @@
 use super::low_traffic::LowTrafficUsage;
 use super::quota::Reservation;
 use super::random::uniform;
-use super::request::InFlightRequest;
+use super::request::TrackedRequest;
 use super::tenant::{Tenant, Usage};
 use crate::action::Action;
 use crate::event::Outcome;
@@ -28,7 +28,7 @@
     }
 
     fn may_call_counter(&self, now: Millis) -> bool {
-        self.settings.counter && self.counter_health.allows_call(now)
+        self.settings.counter_enabled && self.counter_health.allows_call(now)
     }
 
     fn call_counter(&mut self, owner: KeyOwner, key: CounterKey, add: f64) {
@@ -84,7 +84,7 @@
     /// Reserves units on the counter for a request of a low-traffic tenant. While the counter is congested,
     /// only some requests, chosen at random, make a reservation. A request needs no call while a fresh read
     /// is cached.
-    pub(super) fn reserve_on_counter(&mut self, now: Millis, in_flight: &mut InFlightRequest) {
+    pub(super) fn reserve_on_counter(&mut self, now: Millis, in_flight: &mut TrackedRequest) {
         let roll = uniform(&mut self.rng);
         if !self.may_call_counter(now) {
             return;
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -13,7 +13,7 @@
 use super::endpoint_index::{EndpointIndex, EndpointPosition};
 use super::mean_latency::MeanLatency;
 use super::random::{uniform, IndexedDraws};
-use super::request::InFlightRequest;
+use super::request::TrackedRequest;
 use super::slow_start::SlowStart;
 use crate::event::{Endpoint, EndpointState, EndpointUpdate, Outcome};
 use crate::ids::{Millis, ServerId};
@@ -156,7 +156,7 @@
     pub(super) fn select(
         &mut self,
         now: Millis,
-        request: &InFlightRequest,
+        request: &TrackedRequest,
         send_rate: f64,
         rng: &mut Pcg64Mcg,
     ) -> Option<ServerId> {
@@ -187,7 +187,7 @@
 
     /// The servers that the next attempt of a request may be sent to. This depends on the idempotency of its
     /// class if a server may have executed an earlier attempt.
-    fn allowed_servers(&self, request: &InFlightRequest) -> AllowedServers {
+    fn allowed_servers(&self, request: &TrackedRequest) -> AllowedServers {
         let Some(first) = request.first_possible_execution() else { return AllowedServers::All };
         let first_endpoint = self.index.get(first.server).map(|tracked| &tracked.endpoint);
         let locality = match request.class.idempotency {
@@ -206,10 +206,10 @@
     }
 
     /// The servers to exclude because the request was sent to them before. If only one server is ready, it is
-    /// excluded only while the request has a live attempt to it, so that a retry can use it again.
-    fn excluded_servers(&self, request: &InFlightRequest) -> Vec<EndpointPosition> {
+    /// excluded only while the request has an attempt in flight to it, so that a retry can use it again.
+    fn excluded_servers(&self, request: &TrackedRequest) -> Vec<EndpointPosition> {
         let others_ready = self.index.ready() > 1;
-        let excluded = request.attempts.iter().filter(|attempt| attempt.live || others_ready);
+        let excluded = request.attempts.iter().filter(|attempt| attempt.in_flight || others_ready);
         excluded.filter_map(|attempt| self.index.find(attempt.server)).collect()
     }
 
@@ -217,7 +217,7 @@
     fn collect_candidates(
         &mut self,
         now: Millis,
-        request: &InFlightRequest,
+        request: &TrackedRequest,
         max_size: usize,
         send_rate: f64,
     ) -> CandidateSet {
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -5,7 +5,7 @@
 use super::counter_key::KeyOwner;
 use super::endpoint_selection::EndpointSelector;
 use super::housekeeping::{EvictionCursor, HOUSEKEEPING_INTERVAL};
-use super::request::InFlightRequest;
+use super::request::TrackedRequest;
 use super::retry_budget::RetryBudget;
 use super::send_rate::SendRate;
 use super::slow_start::SlowStart;
@@ -35,7 +35,7 @@
     /// Counter calls in flight.
     pub(super) counter_calls: BTreeMap<CounterKey, KeyOwner>,
     pub(super) counter_health: CounterHealth,
-    pub(super) requests: BTreeMap<RequestId, InFlightRequest>,
+    pub(super) requests: BTreeMap<RequestId, TrackedRequest>,
     /// Requests that wait to be forwarded.
     pub(super) queue: BTreeSet<RequestId>,
     /// Mean response time of each class, ms.
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,7 +1,7 @@
 //! Hedged requests: a second attempt beside one that is so late that it is probably lost.
 
 use super::gateway::Gateway;
-use super::request::InFlightRequest;
+use super::request::TrackedRequest;
 use crate::ids::{Millis, RequestId};
 
 /// A hedged request goes out after this many mean response times of its class: late, as it is for lost
@@ -21,9 +21,12 @@
         }
     }
 
-    fn is_late(&self, now: Millis, in_flight: &InFlightRequest) -> bool {
+    fn is_late(&self, now: Millis, in_flight: &TrackedRequest) -> bool {
         let delay = HEDGE_DELAY_FACTOR * self.class_latency(in_flight.request.class);
         let last_is_late = in_flight.attempts.last().is_some_and(|last| now - last.started_at > delay);
-        last_is_late && !in_flight.finished && in_flight.deadline_at > now && in_flight.live_attempts() == 1
+        last_is_late
+            && !in_flight.finished
+            && in_flight.deadline_at > now
+            && in_flight.attempts_in_flight() == 1
     }
 }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -12,13 +12,13 @@
     pub(super) server: ServerId,
     pub(super) started_at: Millis,
     /// It has not ended.
-    pub(super) live: bool,
+    pub(super) in_flight: bool,
     /// Nothing proves that the server never executed it.
     pub(super) may_have_executed: bool,
 }
 
 /// A request from its arrival until its last attempt has ended.
-pub(super) struct InFlightRequest {
+pub(super) struct TrackedRequest {
     pub(super) request: Request,
     pub(super) class: Class,
     pub(super) arrived_at: Millis,
@@ -35,9 +35,9 @@
     pub(super) quota_check: QuotaCheck,
 }
 
-impl InFlightRequest {
+impl TrackedRequest {
     pub(super) fn new(now: Millis, request: Request, class: Class) -> Self {
-        InFlightRequest {
+        TrackedRequest {
             arrived_at: now,
             objective_at: now + class.latency_objective.min(request.time_left),
             deadline_at: now + request.time_left,
@@ -55,8 +55,8 @@
         self.attempts.iter().find(|attempt| attempt.may_have_executed)
     }
 
-    pub(super) fn live_attempts(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.live).count()
+    pub(super) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
     /// Time-out of an attempt that starts now, ms: until the last moment at which a response earns anything.
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -5,7 +5,7 @@
 use super::gateway::Gateway;
 use super::housekeeping::HOUSEKEEPING_INTERVAL;
 use super::random::uniform;
-use super::request::{Attempt, InFlightRequest};
+use super::request::{Attempt, TrackedRequest};
 use super::tenant::{Tenant, Usage};
 use crate::action::Action;
 use crate::event::{Outcome, Request};
@@ -38,7 +38,7 @@
         let id = request.id;
         let tenant_id = request.tenant;
         self.meet_tenant(now, &request);
-        let mut in_flight = InFlightRequest::new(now, request, class);
+        let mut in_flight = TrackedRequest::new(now, request, class);
         let arrived_too_late = self.arrived_too_late(now, &in_flight);
         if !arrived_too_late {
             self.reserve_on_counter(now, &mut in_flight);
@@ -55,7 +55,7 @@
 
     /// Whether too little time is left on arrival to try at all: less than half the mean response time, or
     /// less than a housekeeping interval, within which nothing would look at the request again.
-    fn arrived_too_late(&self, now: Millis, in_flight: &InFlightRequest) -> bool {
+    fn arrived_too_late(&self, now: Millis, in_flight: &TrackedRequest) -> bool {
         let half_response_time = self.class_latency(in_flight.request.class) / 2.0;
         in_flight.objective_at - now < half_response_time.max(HOUSEKEEPING_INTERVAL)
     }
@@ -114,7 +114,12 @@
         let timeout = in_flight.attempt_timeout(now);
         self.actions.push(Action::Forward { id, server, timeout });
         let first = in_flight.attempts.is_empty();
-        in_flight.attempts.push(Attempt { server, started_at: now, live: true, may_have_executed: true });
+        in_flight.attempts.push(Attempt {
+            server,
+            started_at: now,
+            in_flight: true,
+            may_have_executed: true,
+        });
         self.concurrency.attempt_started();
         if let Some(tenant) = self.tenants.get_mut(&in_flight.request.tenant) {
             tenant.attempt_started();
@@ -162,11 +167,11 @@
         self.concurrency.attempt_ended();
         let Some(in_flight) = self.requests.get_mut(&id) else { return };
         let Some(ended) = in_flight.attempts.get_mut(usize::from(attempt)) else { return };
-        ended.live = false;
+        ended.in_flight = false;
         ended.may_have_executed = outcome.may_have_executed();
         let latency = now - ended.started_at;
         let finished = in_flight.finished;
-        let live = in_flight.live_attempts() > 0;
+        let live = in_flight.attempts_in_flight() > 0;
         if let Some(tenant) = self.tenants.get_mut(&in_flight.request.tenant) {
             tenant.attempt_ended();
         }
@@ -214,7 +219,7 @@
 
     /// When a rejected client may find room, ms: once its quota has refilled, and no sooner than a response
     /// takes.
-    fn retry_after(&self, in_flight: &InFlightRequest) -> Millis {
+    fn retry_after(&self, in_flight: &TrackedRequest) -> Millis {
         let request = &in_flight.request;
         let Some(tenant) = self.tenants.get(&request.tenant) else { return 0.0 };
         let wait = tenant.time_until_admission(request.units).max(self.class_latency(request.class));
@@ -227,14 +232,15 @@
         let Some(in_flight) = self.requests.get_mut(&id) else { return };
         in_flight.finished = true;
         if self.settings.cancellation_allowed && !in_flight.streaming {
-            for (number, _) in in_flight.attempts.iter().enumerate().filter(|(_, attempt)| attempt.live) {
+            for (number, _) in in_flight.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight)
+            {
                 self.actions.push(Action::Cancel { id, attempt: number as u8 });
             }
         }
         if in_flight.attempts.is_empty() {
             self.record_not_forwarded(now, id);
         }
-        if self.requests.get(&id).is_some_and(|in_flight| in_flight.live_attempts() == 0) {
+        if self.requests.get(&id).is_some_and(|in_flight| in_flight.attempts_in_flight() == 0) {
             self.requests.remove(&id);
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -86,7 +86,7 @@
     /// Longest `Retry-After` that clients follow; ms.
     pub max_retry_after: Millis,
     /// There is a counter service.
-    pub counter: bool,
+    pub counter_enabled: bool,
     /// The counter answers a call within this unless it queues too long; ms. How long a call is waited for
     /// follows from it, see [`counter_call_timeout`](crate::policy::counter_call_timeout).
     pub counter_timeout: Millis,
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -38,7 +38,7 @@
     let mut rig = Rig::new(settings(), 4);
     let call = rig.request(1000.0).actions.counter_call();
     rig.handle(1050.0, counter_failed(call.key, Outcome::TimedOut, 50.0));
-    let forwarded = rig.burst(1060.0, 40);
+    let forwarded = rig.send_burst(1060.0, 40);
     assert!(forwarded <= 6, "one of three gateways forwarded {forwarded} more requests of a burst of 10");
 }
 
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -9,7 +9,7 @@
 
 /// A gateway of a large fleet that enforces no quota shared through the counter.
 fn gateway_of_large_fleet(seed: u64, servers: u32) -> Rig {
-    let settings = Settings { counter: false, ..large_fleet_settings(1000.0, 3000.0) };
+    let settings = Settings { counter_enabled: false, ..large_fleet_settings(1000.0, 3000.0) };
     Rig::with_complete_list(settings, seed, servers)
 }
 
--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -11,10 +11,10 @@
 #[test]
 fn requests_within_the_quota_are_forwarded_and_none_beyond_the_hard_limit() {
     let mut rig = Rig::new(settings(), 4);
-    assert_eq!(rig.burst(1000.0, 10), 10);
+    assert_eq!(rig.send_burst(1000.0, 10), 10);
     // Between the quota and the hard limit, requests are rejected with a probability.
-    rig.burst(1000.0, 10);
-    assert_eq!(rig.burst(1000.0, 50), 0);
+    rig.send_burst(1000.0, 10);
+    assert_eq!(rig.send_burst(1000.0, 50), 0);
 }
 
 #[test]
@@ -22,15 +22,15 @@
     let mut rig = Rig::new(settings(), 4);
     let call = rig.request(1000.0).actions.counter_call();
     rig.handle(1002.0, counter_answered(call.key, 2.0, 100.0));
-    assert!(rig.burst(1003.0, 20) < 10);
+    assert!(rig.send_burst(1003.0, 20) < 10);
 }
 
 #[test]
 fn requests_within_the_bucket_refill_are_forwarded_while_the_window_is_full() {
     let mut rig = Rig::new(settings(), 4);
-    assert_eq!(rig.burst(1000.0, 9), 9);
+    assert_eq!(rig.send_burst(1000.0, 9), 9);
     // 0.8 s later the window still holds nine units, and the bucket has been refilled with four tokens.
-    assert!(rig.burst(1800.0, 4) >= 3);
+    assert!(rig.send_burst(1800.0, 4) >= 3);
 }
 
 #[test]
@@ -45,7 +45,7 @@
 
 /// Whether a gateway forwards a request of one unit after requests of 10.2 units.
 fn last_of_four_is_forwarded(seed: u64) -> bool {
-    let mut gateway = Gateway::new(Settings { counter: false, ..settings() }, seed);
+    let mut gateway = Gateway::new(Settings { counter_enabled: false, ..settings() }, seed);
     let mut actions = Vec::new();
     gateway.handle(0.0, complete_list(ready_endpoints(8)), &mut actions);
     for (number, units) in [5.0, 5.0, 0.2, 1.0].into_iter().enumerate() {
@@ -62,7 +62,7 @@
     let mut settings = settings();
     settings.plans[0].rate = 0.0;
     let mut rig = Rig::new(settings, 4);
-    assert_eq!(rig.burst(1000.0, 100), 100);
+    assert_eq!(rig.send_burst(1000.0, 100), 100);
     assert!(rig.request(1001.0).actions.counter_calls().is_empty());
 }
 
@@ -97,7 +97,7 @@
             for call in rig.last_actions.counter_calls() {
                 rig.handle(now, counter_failed(call.key, Outcome::ConnectFailed, 1.0));
             }
-            forwarded += rig.burst(now, 1);
+            forwarded += rig.send_burst(now, 1);
         }
     }
     assert!(forwarded <= 20 + 10 + 2, "three gateways forwarded {forwarded} units in a second");
@@ -145,7 +145,7 @@
     Settings {
         gateway_count: gateways,
         plans: vec![plan],
-        counter: false,
+        counter_enabled: false,
         max_retry_after: 60_000.0,
         ..settings()
     }
@@ -163,9 +163,9 @@
         ceiling_burst: 12.0,
         ..Plan::default()
     };
-    let mut rig = Rig::new(Settings { plans: vec![plan], counter: false, ..settings() }, 4);
+    let mut rig = Rig::new(Settings { plans: vec![plan], counter_enabled: false, ..settings() }, 4);
     assert!(rig.request(5000.0).actions.is_forwarded(), "the tenant's first request was not forwarded");
-    let later = rig.burst(5000.0, 20);
+    let later = rig.send_burst(5000.0, 20);
     assert!(later <= 3, "{later} more requests were forwarded, beyond a third of the ceiling's burst of 12");
 }
 
--- a/tests/policy/rig.rs
+++ b/tests/policy/rig.rs
@@ -29,7 +29,7 @@
         max_attempts: 4,
         hedging_allowed: true,
         cancellation_allowed: true,
-        counter: true,
+        counter_enabled: true,
         counter_timeout: 50.0,
         slow_start_capacity: 0.2,
         slow_start_window: 10_000.0,
@@ -169,7 +169,7 @@
     }
 
     /// Sends requests of the first tenant, answering each before the next; how many were forwarded.
-    pub fn burst(&mut self, now: Millis, requests: usize) -> usize {
+    pub fn send_burst(&mut self, now: Millis, requests: usize) -> usize {
         let mut forwarded = 0;
         for _ in 0..requests {
             let Received { id, actions } = self.request(now);
--- a/tests/quota_accuracy/fleet.rs
+++ b/tests/quota_accuracy/fleet.rs
@@ -289,7 +289,7 @@
         let Some(call) = self.counter.accept(self.now, key, add) else {
             return CallEnd { at: self.now + REJECTION_LATENCY, outcome: Outcome::Rejected, total: 0.0 };
         };
-        let at = call.begins + self.world.counter_latency;
+        let at = call.starts_at + self.world.counter_latency;
         if at - self.now > self.call_timeout {
             return timed_out;
         }
--- a/tests/settings_values.rs
+++ b/tests/settings_values.rs
@@ -267,7 +267,7 @@
         format!("hedging {:?}", settings.hedging_allowed),
         format!("cancellation {:?}", settings.cancellation_allowed),
         format!("max retry-after {:?}", settings.max_retry_after),
-        format!("counter {:?}", settings.counter),
+        format!("counter {:?}", settings.counter_enabled),
         format!("counter timeout {:?}", settings.counter_timeout),
         format!("polls {:?}", settings.poll_endpoints),
         format!("slow start {:?}", settings.slow_start_capacity),
--- a/tests/support/simulation.rs
+++ b/tests/support/simulation.rs
@@ -84,7 +84,7 @@
 /// What a [`CounterStub`] does with a call that it accepts.
 pub struct AcceptedCall {
     /// When work on it begins, ms.
-    pub begins: Millis,
+    pub starts_at: Millis,
     /// The counter's total after it.
     pub total: f64,
 }
@@ -124,14 +124,14 @@
     pub fn accept(&mut self, now: Millis, key: CounterKey, amount: f64) -> Option<AcceptedCall> {
         let partitions = self.partition_free_at.len();
         let free_at = &mut self.partition_free_at[(key.0 >> 7) as usize % partitions];
-        let begins = free_at.max(now);
-        if begins - now > self.max_queueing {
+        let starts_at = free_at.max(now);
+        if starts_at - now > self.max_queueing {
             return None;
         }
         if let Some(rate) = self.calls_per_second {
-            *free_at = begins + 1000.0 * partitions as f64 / rate;
+            *free_at = starts_at + 1000.0 * partitions as f64 / rate;
         }
-        Some(AcceptedCall { begins, total: self.add(key, amount) })
+        Some(AcceptedCall { starts_at, total: self.add(key, amount) })
     }
 }
 
