--- a/src/action.rs
+++ b/src/action.rs
@@ -1,27 +1,27 @@
-//! What a gateway's decisions want done, for whoever owns the sockets or the simulator's wire to execute.
+//! The outputs of a gateway's decisions. The socket layer or the simulator's adapter executes them.
 
 use crate::ids::{CounterKey, Millis, RequestId, ServerId};
 
-/// One thing to do; actions are executed in the order in which they were appended.
+/// One operation to execute. Actions are executed in the order in which the gateway appended them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; the attempts of a request are numbered from 0 in this order.
+    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Forward {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server that receives the attempt.
         server: ServerId,
-        /// Time-out, ms; 0: until the client gives up.
+        /// Timeout of the attempt, ms; 0 means that the attempt lasts until the client gives up.
         timeout: Millis,
     },
-    /// Final answer: rejected, and harmless to retry.
+    /// Answer the client finally: the request is rejected, and a retry by the client is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// When a retry makes sense, ms from now; 0: none is given.
+        /// Time after which the client should retry, ms from now; 0 means that no time is given.
         retry_after: Millis,
     },
-    /// Final answer: failed, possibly executed.
+    /// Answer the client finally: the request failed, and a server may have executed it.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel {
@@ -32,22 +32,22 @@
     },
     /// Check a server's health.
     HealthCheck(ServerId),
-    /// Add to a number of the counter service and learn its total.
+    /// Add to a number in the counter service and read its new total.
     IncrementCounter {
-        /// The counter.
+        /// The key of the number.
         key: CounterKey,
-        /// The amount, which may be negative; 0 only reads.
+        /// The amount to add, which may be negative; 0 only reads the total.
         add: f64,
-        /// A new counter is forgotten after this; ms.
+        /// Time to live of the number if this call creates it, ms.
         ttl: Millis,
     },
-    /// Ask for an [`Event::Timer`](crate::event::Event::Timer).
+    /// Schedule an [`Event::Timer`](crate::event::Event::Timer).
     Timer {
-        /// From now; ms.
+        /// Delay from now, ms.
         after: Millis,
-        /// Comes back with the event.
+        /// Token that the event carries.
         token: u64,
     },
-    /// Ask for the changes of the endpoint list from now on.
+    /// Ask discovery for the changes of the endpoint list from now on.
     WatchEndpoints,
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,16 +1,17 @@
-//! The inputs of a gateway's decisions: requests, ends of attempts, endpoint lists and counter replies.
+//! The inputs of a gateway's decisions: requests, results of attempts, endpoint lists, timers and counter
+//! replies.
 
 use crate::ids::{ClassId, CounterKey, Millis, PlanId, RequestId, ServerId, TenantId};
 
 /// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// The server accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// The server finishes the requests that it has and accepts no new ones.
     Draining,
-    /// Withdrawn.
+    /// The server has been removed from the list.
     Removed,
 }
 
@@ -19,73 +20,73 @@
 pub struct Endpoint {
     /// The server.
     pub server: ServerId,
-    /// Its size beside the others'.
+    /// Size of the server relative to the other servers.
     pub weight: f64,
-    /// Its zone.
+    /// The zone that the server is in.
     pub zone: u16,
-    /// Its cell.
+    /// The cell that the server is in.
     pub cell: u16,
-    /// When it last started, ms; 0: long ago.
+    /// Time of the server's last start, ms; 0 means that it started long ago.
     pub started: Millis,
-    /// Its state.
+    /// The server's state.
     pub state: EndpointState,
 }
 
-/// How the entries of an [`Event::EndpointsChanged`] are to be read.
+/// How to apply the entries of an [`Event::EndpointsChanged`] to the current endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only the entries that changed.
+    /// The entries are only those that changed.
     Incremental,
-    /// The complete list; a server that is not in it is removed.
+    /// The entries are the complete list. A server that is missing from it is removed.
     Complete,
-    /// The complete list as this gateway last held it, possibly stale.
+    /// The entries are the complete list as this gateway last knew it, and may be stale.
     Cached,
-    /// The list could not be had; the present one holds.
+    /// The list could not be fetched. The gateway keeps its current list.
     Failed,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
-    /// Its tenant.
+    /// The tenant that sent the request.
     pub tenant: TenantId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant's plan.
+    /// The plan of the tenant.
     pub plan: PlanId,
-    /// Units it draws from the quota.
+    /// Units that the request consumes from the quota.
     pub units: f64,
-    /// How long the client still waits; ms.
+    /// Time until the client gives up, ms.
     pub time_left: Millis,
-    /// Gateways through which the tenant's requests come in.
+    /// Number of gateways that receive the tenant's requests.
     pub gateway_count: f64,
 }
 
 /// How an attempt, a health check or a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served or answered.
+    /// The server or the counter answered.
     Ok,
-    /// Answered with an error; may have been executed.
+    /// The answer was an error; the request may have been executed.
     Error,
-    /// Rejected for lack of capacity; not executed.
+    /// The request was rejected for lack of capacity and not executed.
     Rejected,
-    /// No answer in time; may have been executed.
+    /// No answer came in time; the request may have been executed.
     TimedOut,
-    /// No connection; not executed.
+    /// No connection could be made; the request was not executed.
     ConnectFailed,
-    /// The connection was lost; may have been executed.
+    /// The connection was lost; the request may have been executed.
     Reset,
-    /// Cancelled by the gateway; may have been executed.
+    /// The gateway cancelled it; the request may have been executed.
     Cancelled,
-    /// Never sent, for a reason on this side.
+    /// The gateway did not send it, because of a local error or limit.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this end leaves open that the server has executed the request.
+    /// Whether the server may have executed a request whose attempt ended like this.
     pub fn may_have_executed(self) -> bool {
         !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -94,14 +95,14 @@
 /// An input of a gateway's decisions.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the endpoint list.
+    /// The endpoint list has changed or could not be fetched.
     EndpointsChanged {
-        /// How to read the entries.
+        /// How to apply the entries.
         update: EndpointUpdate,
         /// The entries.
         entries: Vec<Endpoint>,
     },
-    /// A request has come in.
+    /// A request has arrived from a client.
     Request(Request),
     /// An attempt has ended.
     AttemptEnded {
@@ -113,12 +114,12 @@
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The request has its final answer, by this attempt or before.
+        /// Whether the request has its final answer, from this attempt or an earlier one.
         complete: bool,
-        /// Time since the attempt began; ms.
+        /// Time since the start of the attempt, ms.
         elapsed: Millis,
     },
-    /// The response of an attempt has begun to stream to the client.
+    /// The gateway has started to send the response of an attempt to the client.
     ResponseStarted {
         /// The request.
         id: RequestId,
@@ -127,7 +128,7 @@
     },
     /// The client has disconnected.
     ClientDisconnected(RequestId),
-    /// A timer has fired; its token comes back.
+    /// A timer with this token has fired.
     Timer(u64),
     /// A health check has ended.
     HealthChecked {
@@ -135,18 +136,18 @@
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it began; ms.
+        /// Time since the start of the health check, ms.
         elapsed: Millis,
     },
-    /// A call to the counter has ended.
+    /// A call to the counter service has ended.
     CounterReplied {
-        /// The counter.
+        /// The key that the call was for.
         key: CounterKey,
         /// How the call ended.
         outcome: Outcome,
-        /// Time since the call; ms.
+        /// Time since the start of the call, ms.
         elapsed: Millis,
-        /// The total after the call, if the outcome is `Ok`.
+        /// The total after the call; only valid if the outcome is `Ok`.
         total: f64,
     },
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,13 +1,13 @@
-//! Identifiers of requests, servers, tenants and counters, and the time type that all decisions use.
+//! Identifiers of requests, servers, tenants, counters, classes and plans, and the type of times.
 
-/// A point in time on the caller's clock, or a span; milliseconds.
+/// A point in time on the clock of the policy's caller, or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// A request as this gateway holds it; a client's retry gets a new one.
+/// A request at this gateway. A retry by the client is a new request with a new id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// A server, numbered alike at every gateway.
+/// A server. All gateways use the same number for the same server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u64);
 
-/// The name of one number in the counter service.
+/// The key of one number that the counter service stores.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CounterKey(pub u64);
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! A rate-limiting gateway in front of a fleet of servers: it holds every tenant to the quota of its plan,
-//! over all gateways together, and chooses a server for each request.
+//! A rate-limiting gateway in front of a fleet of servers. All gateways together limit each tenant to the
+//! quota of its plan, and each gateway chooses a server for every request that it forwards.
 //!
-//! [`policy::Gateway`] makes the decisions of one gateway: it takes [`settings`] and a seed, then [`event`]s
-//! with their times, and appends the [`action`]s to execute. It does no I/O and reads no clock. [`net`] holds
-//! the sockets of the real gateway, [`simulator`] the frames of the simulator's protocol, and [`config`]
-//! reads the settings of both.
+//! [`policy::Gateway`] makes the decisions of one gateway. It is created from [`settings`] and a seed,
+//! handles [`event`]s with their times, and appends the [`action`]s to execute. It does no I/O and reads no
+//! clock. [`net`] runs a gateway on real sockets, [`simulator`] runs gateways behind the simulator's
+//! protocol, and [`config`] reads the settings for both.
 //!
 //! ```
 //! use rate_limiting_gateway::action::Action;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,35 +1,34 @@
-//! Quota admission: whether a request that has not been forwarded yet may be, must wait, or is rejected.
+//! Quota admission: decides whether a request that has not been forwarded yet may be forwarded, has to wait
+//! or is rejected.
 
 use super::request::TrackedRequest;
 use super::tenant::{Tenant, Usage};
 use crate::ids::Millis;
 
-/// Share of its class's latency objective that a request waits for the reply to its reservation.
+/// Longest time that a request waits for the counter's reply to its reservation, as a share of the latency
+/// objective of its class.
 const RESERVATION_WAIT_SHARE: f64 = 0.25;
 
-/// What admission says of a request.
+/// The admission decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It may be forwarded.
+    /// The request may be forwarded.
     Admit,
-    /// It has to wait for the counter, for the ceiling or for an attempt of its tenant to end.
+    /// The request has to wait for the counter, for the refill of the ceiling or until another attempt of its
+    /// tenant has ended.
     Queue,
-    /// Its quota is used up.
+    /// The quota of the request's tenant is used up.
     Reject,
 }
 
-/// Decides on a request. `roll` is a uniform draw from 0 to 1, made for every decision. The plan's limit on
-/// attempts in flight is checked for tenants counted in batches only.
-pub(super) fn admit(
-    now: Millis,
-    in_flight: &mut TrackedRequest,
-    tenant: &mut Tenant,
-    roll: f64,
-) -> Admission {
+/// Decides whether to admit a request. `roll` is a random number, uniform between 0 and 1, which the caller
+/// draws for every decision. Only tenants that are counted in batches are checked against their plan's limit
+/// on attempts in flight.
+pub(super) fn admit(now: Millis, tracked: &mut TrackedRequest, tenant: &mut Tenant, roll: f64) -> Admission {
     if tenant.has_quota() {
         tenant.advance_to(now);
     }
-    let units = in_flight.request.units;
+    let units = tracked.request.units;
     let ceiling_is_short = tenant.ceiling.is_short_of(units);
     let at_in_flight_limit = tenant.is_at_in_flight_limit();
     match &mut tenant.usage {
@@ -39,9 +38,9 @@
             false => Admission::Reject,
         },
         Usage::LowTraffic(usage) => {
-            let counter_wait = RESERVATION_WAIT_SHARE * in_flight.class.latency_objective;
-            let check = &mut in_flight.quota_check;
-            if check.awaiting_counter && now - in_flight.arrived_at < counter_wait {
+            let counter_wait = RESERVATION_WAIT_SHARE * tracked.class.latency_objective;
+            let check = &mut tracked.quota_check;
+            if check.awaiting_counter && now - tracked.arrived_at < counter_wait {
                 return Admission::Queue;
             }
             if !check.admitted {
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,46 +1,53 @@
-//! The concurrency limit: additive increase and multiplicative decrease (AIMD) of the attempts that this
-//! gateway has in flight, steered by response times.
+//! The concurrency limit: the number of attempts that this gateway may have in flight. Response times control
+//! the limit by additive increase and multiplicative decrease (AIMD).
 
 use crate::ids::Millis;
 
-/// Attempts for each server that the limit starts with, over all gateways.
+/// Initial limit, in attempts per server over all gateways. A gateway that uses a subset of the servers also
+/// never raises its limit above this.
 const INITIAL_PER_SERVER: f64 = 8.0;
-/// Attempts for each server that the limit never falls below, over all gateways.
+/// Lower bound of the limit, in attempts per server over all gateways.
 const MIN_PER_SERVER: f64 = 2.0;
-/// Least limit of a gateway that uses all servers.
+/// Lower bound of the limit of a gateway that uses all servers, in attempts.
 const MIN_LIMIT: f64 = 2.0;
-/// Mean response time, as a share of the latency objective, at which the limit starts to fall.
-const DECREASE_THRESHOLD: f64 = 0.27;
-/// A response time counts for this many latency objectives at most.
-const MAX_SLOWNESS: f64 = 2.0;
-/// The limit rises only while more than this share of it is used.
+/// Mean response time, as a share of the latency objective, above which the limit decreases.
+const DECREASE_LATENCY_RATIO: f64 = 0.27;
+/// Upper bound of one sample of the response time, in latency objectives.
+const MAX_LATENCY_RATIO: f64 = 2.0;
+/// Share of the limit that must be in use before the limit increases.
 const INCREASE_UTILIZATION: f64 = 0.6;
-/// Below this share of the limit there is room for hedged requests.
+/// Share of the limit below which hedged requests may be sent.
 const HEDGE_UTILIZATION: f64 = 0.8;
 
-/// How fast the limit follows; a gateway on a subset of the servers sees fewer samples and follows faster.
+/// How strongly one response time changes the state of the limit.
 struct Gains {
-    slowness: f64,
-    step: f64,
+    /// Gain of a sample in the mean latency ratio.
+    latency_ratio: f64,
+    /// Share of the limit by which it decreases, and on a subset of the servers also increases.
+    limit_step: f64,
 }
 
-const USUAL_GAINS: Gains = Gains { slowness: 0.03, step: 0.01 };
-const SUBSET_GAINS: Gains = Gains { slowness: 0.1, step: 0.05 };
+/// Gains of a gateway that uses all servers.
+const DEFAULT_GAINS: Gains = Gains { latency_ratio: 0.03, limit_step: 0.01 };
+/// Gains of a gateway that uses a subset of the servers. They are larger because it gets fewer samples.
+const SUBSET_GAINS: Gains = Gains { latency_ratio: 0.1, limit_step: 0.05 };
 
-/// Attempts that this gateway may have in flight.
+/// The concurrency limit of this gateway and the state that controls it.
 #[derive(Default)]
 pub(super) struct ConcurrencyLimit {
-    /// `None` until the first list that names a server.
+    /// `None` until the first endpoint list that contains a server.
     limit: Option<f64>,
+    /// Attempts of this gateway in flight.
     in_flight: f64,
-    /// Mean response time as a share of the latency objectives.
-    slowness: f64,
-    /// Nothing is sent before this: below one attempt the limit is kept by pausing.
-    paced_until: Option<Millis>,
+    /// Mean response time as a share of the latency objective.
+    latency_ratio: f64,
+    /// No attempt starts before this time. Such pauses enforce a limit below one attempt.
+    paused_until: Option<Millis>,
 }
 
 impl ConcurrencyLimit {
-    /// Sets the limit at the first list; `servers_per_gateway` of the whole fleet.
+    /// Sets the initial limit once servers are known. `servers_per_gateway` is the number of servers divided
+    /// by the number of gateways in the fleet.
     pub(super) fn initialize(&mut self, servers_per_gateway: f64) {
         if self.limit.is_none() && servers_per_gateway > 0.0 {
             self.limit = Some(INITIAL_PER_SERVER * servers_per_gateway);
@@ -54,7 +61,7 @@
 
     /// Whether one more attempt may start now.
     pub(super) fn has_capacity(&self, now: Millis) -> bool {
-        self.in_flight < self.limit().max(1.0) && self.paced_until.is_none_or(|until| now >= until)
+        self.in_flight < self.limit().max(1.0) && self.paused_until.is_none_or(|until| now >= until)
     }
 
     pub(super) fn is_exhausted(&self) -> bool {
@@ -73,7 +80,7 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// Takes a response time, ms, as evidence; called once the attempt has ended.
+    /// Adjusts the limit by the response time of an attempt that has ended, ms.
     pub(super) fn record_latency(
         &mut self,
         now: Millis,
@@ -82,25 +89,25 @@
         servers_per_gateway: f64,
         subset_active: bool,
     ) {
-        let gains = if subset_active { SUBSET_GAINS } else { USUAL_GAINS };
-        let ratio = (latency / objective.max(1.0)).min(MAX_SLOWNESS);
-        self.slowness += gains.slowness * (ratio - self.slowness);
+        let gains = if subset_active { SUBSET_GAINS } else { DEFAULT_GAINS };
+        let ratio = (latency / objective.max(1.0)).min(MAX_LATENCY_RATIO);
+        self.latency_ratio += gains.latency_ratio * (ratio - self.latency_ratio);
         let limit = self.limit();
-        let limit = if self.slowness > DECREASE_THRESHOLD {
-            decrease(limit, gains.step, servers_per_gateway, subset_active)
+        let limit = if self.latency_ratio > DECREASE_LATENCY_RATIO {
+            decrease(limit, gains.limit_step, servers_per_gateway, subset_active)
         } else {
-            self.increase(limit, gains.step, servers_per_gateway, subset_active)
+            self.increase(limit, gains.limit_step, servers_per_gateway, subset_active)
         };
         self.limit = Some(limit);
         let pause = latency * (1.0 / limit - 1.0);
-        self.paced_until = (pause > 0.0).then_some(now + pause);
+        self.paused_until = (pause > 0.0).then_some(now + pause);
     }
 
-    fn increase(&self, limit: f64, step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
-        let used = INCREASE_UTILIZATION * limit;
-        if subset_active && self.in_flight + 1.0 > used {
-            (limit * (1.0 + step)).min(INITIAL_PER_SERVER * servers_per_gateway)
-        } else if self.in_flight > used {
+    fn increase(&self, limit: f64, limit_step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
+        let busy_threshold = INCREASE_UTILIZATION * limit;
+        if subset_active && self.in_flight + 1.0 > busy_threshold {
+            (limit * (1.0 + limit_step)).min(INITIAL_PER_SERVER * servers_per_gateway)
+        } else if self.in_flight > busy_threshold {
             limit + 1.0 / limit.max(1.0)
         } else {
             limit
@@ -108,10 +115,10 @@
     }
 }
 
-/// Fewer attempts than the minimum cannot be a queue of this gateway's own: the servers are then slow for
-/// other causes, and a lower limit would only serve less, without end.
-fn decrease(limit: f64, step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
+/// Decreases the limit, but not below the minimum. With so few attempts in flight, this gateway's own load
+/// cannot be why the servers are slow, and a lower limit would only reduce the throughput more and more.
+fn decrease(limit: f64, limit_step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
     let minimum = MIN_PER_SERVER * servers_per_gateway;
     let minimum = if subset_active { minimum } else { minimum.max(MIN_LIMIT) };
-    (limit * (1.0 - step)).max(minimum)
+    (limit * (1.0 - limit_step)).max(minimum)
 }
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: its state, and the rule that each event goes to.
+//! The state of a gateway, and the dispatch of each event to the code that handles it.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::counter_health::CounterHealth;
@@ -18,37 +18,37 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The latency objective over this stands for the mean response time of a class before the first response.
+/// The mean response time of a class starts at its latency objective divided by this.
 const INITIAL_LATENCY_DIVISOR: f64 = 5.0;
 
-/// The decisions of one gateway and what they need to remember.
+/// Makes the decisions of one gateway and holds the state that they need.
 pub struct Gateway {
     pub(super) settings: Settings,
     pub(super) rng: Pcg64Mcg,
-    /// When the first event came.
+    /// Time of the first event.
     pub(super) started_at: Option<Millis>,
     pub(super) selector: EndpointSelector,
     pub(super) tenants: BTreeMap<TenantId, Tenant>,
-    /// Tenants that may have something to tell the counter; housekeeping looks at each.
+    /// Tenants that may have units to send to the counter. Each housekeeping run checks all of them.
     pub(super) unsynced: BTreeSet<TenantId>,
     pub(super) eviction: EvictionCursor,
-    /// Counter calls in flight.
+    /// Tenant and disposition of each counter key that has calls in flight.
     pub(super) counter_calls: BTreeMap<CounterKey, KeyOwner>,
     pub(super) counter_health: CounterHealth,
     pub(super) requests: BTreeMap<RequestId, TrackedRequest>,
-    /// Requests that wait to be forwarded.
+    /// Requests that are waiting to be forwarded.
     pub(super) queue: BTreeSet<RequestId>,
     /// Mean response time of each class, ms.
     pub(super) class_latency: Vec<Millis>,
     pub(super) concurrency: ConcurrencyLimit,
     pub(super) retry_budget: RetryBudget,
     pub(super) send_rate: SendRate,
-    /// What the present event wants done.
+    /// Actions that follow from the current event.
     pub(super) actions: Vec<Action>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet but its settings.
+    /// Creates a gateway that knows no servers and no tenants yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let salt = rng.next_u64();
@@ -74,17 +74,18 @@
         }
     }
 
-    /// Tenants of which something is remembered.
+    /// Number of tenants that the gateway keeps state for.
     pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Servers, and blocks of up to 64 of them, that selections of a server have looked at so far.
+    /// Number of servers, and of blocks of up to 64 servers, that server selection has examined so far.
     pub fn endpoints_examined(&self) -> u64 {
         self.selector.endpoints_examined()
     }
 
-    /// Takes in one event at `now`, ms, and appends what is to be done. Times must not run backwards.
+    /// Handles one event that happens at `now`, ms, and appends the resulting actions. `now` must not be
+    /// earlier than in the previous call.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         if self.started_at.is_none() {
             self.start(now);
@@ -99,13 +100,13 @@
             Event::ResponseStarted { id, .. } => self.response_started(id),
             Event::ClientDisconnected(id) => self.finish(now, id),
             Event::Timer(_) => self.run_housekeeping(now),
-            // No health check is ever asked for.
+            // The gateway requests no health checks.
             Event::HealthChecked { .. } => {}
             Event::CounterReplied { key, outcome, elapsed, total } => {
                 self.counter_replied(now, key, outcome, elapsed, total);
             }
         }
-        self.serve_queue(now);
+        self.process_queue(now);
         actions.append(&mut self.actions);
     }
 
@@ -140,8 +141,8 @@
     }
 
     fn response_started(&mut self, id: RequestId) {
-        if let Some(in_flight) = self.requests.get_mut(&id) {
-            in_flight.streaming = true;
+        if let Some(tracked) = self.requests.get_mut(&id) {
+            tracked.streaming = true;
         }
     }
 }
--- a/src/policy/housekeeping.rs
+++ b/src/policy/housekeeping.rs
@@ -1,23 +1,24 @@
-//! The interval of housekeeping, in which idle tenants are evicted, counters synchronised and hedged requests
-//! sent; and the eviction.
+//! The interval of the housekeeping timer, and the eviction of idle tenants. Each housekeeping run evicts
+//! idle tenants, synchronizes usage with the counter and sends hedged requests.
 
 use super::tenant::Tenant;
 use crate::ids::{Millis, TenantId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Period of the housekeeping timer, ms: short beside any latency objective.
+/// Period of the housekeeping timer, ms. It is short compared with any latency objective.
 pub(super) const HOUSEKEEPING_INTERVAL: Millis = 20.0;
-/// Tenants examined for eviction in one housekeeping: it takes no longer, however many there are.
+/// Tenants that one housekeeping run examines for eviction. The bound keeps a run short however many tenants
+/// there are.
 const EVICTION_BATCH: usize = 32;
 
-/// Where the search for idle tenants goes on.
+/// Position at which the next housekeeping run continues the search for idle tenants.
 #[derive(Default)]
 pub(super) struct EvictionCursor {
     next: TenantId,
 }
 
 impl EvictionCursor {
-    /// Forgets tenants that have not come for long, a batch at a time.
+    /// Examines the next batch of tenants and evicts those that have been idle for long enough.
     pub(super) fn evict_idle(
         &mut self,
         now: Millis,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,12 @@
-//! The decisions of one gateway. It does no I/O, reads no clock and draws random numbers from its own seed
-//! only, so the same settings, seed and events always give the same actions.
+//! The decisions of one gateway. The module does no I/O, reads no clock and draws random numbers only from
+//! its own seed, so the same settings, seed and events always produce the same actions.
 //!
-//! [`Gateway`] passes each event to the rule that it concerns. A request meets the rules in this order:
-//! `request_lifecycle` (arrival to final answer), `admission` (quota, ceiling, attempts in flight), `queue`,
-//! `concurrency_limit`, `endpoint_selection` with `endpoint_health` (outlier ejection) and `slow_start`, and
-//! for a further attempt `retry_budget` and `hedging`. What the gateways know of each other's use of a quota
-//! comes through the counter service: `counter_calls`, `counter_health`, and `batched_usage` or `low_traffic`
-//! for each tenant.
+//! [`Gateway`] passes each event to the module that handles it. A request goes through the modules in this
+//! order: `request_lifecycle` (arrival to final answer), `admission` (quota, ceiling, attempts in flight),
+//! `queue`, `concurrency_limit`, `endpoint_selection` with `endpoint_health` (outlier ejection) and
+//! `slow_start`, and for further attempts `retry_budget` and `hedging`. The gateways learn each other's use
+//! of a quota through the counter service. `counter_calls` makes the calls, `counter_health` limits their
+//! rate, and `batched_usage` or `low_traffic` tracks the use of each tenant.
 
 mod admission;
 mod batched_usage;
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,16 +1,18 @@
-//! Requests that wait to be forwarded, and which of them are served first or shed.
+//! The queue of requests that wait to be forwarded: the order in which they are forwarded, and which of them
+//! are rejected early.
 
 use super::gateway::Gateway;
 use crate::ids::{Millis, RequestId};
 
-/// Requests queued, as a share of the concurrency limit; past it those of least value are rejected early.
+/// Maximum length of the queue, as a share of the concurrency limit. Requests beyond it, which are those of
+/// the lowest value, are rejected early.
 const MAX_QUEUE_SHARE: f64 = 0.5;
-/// A queued request's value falls by its waiting time, from this many times to the rest of it at its
-/// objective.
-const FRESH_FACTOR: f64 = 1.2;
+/// Factor on a request's value when it arrives. The factor decreases linearly with the waiting time, by 1 up
+/// to the request's latency objective.
+const INITIAL_VALUE_FACTOR: f64 = 1.2;
 
-/// A queued request and how much it matters.
-struct Queued {
+/// A queued request and its value, by which the queue is ordered.
+struct QueuedRequest {
     id: RequestId,
     value: f64,
 }
@@ -20,32 +22,33 @@
         self.queue.insert(id);
     }
 
-    /// Forwards queued requests, those of most value first, and rejects those that can no longer meet their
-    /// objective or are too many.
-    pub(super) fn serve_queue(&mut self, now: Millis) {
-        for (position, queued) in self.take_queue(now).into_iter().enumerate() {
+    /// Forwards queued requests in descending order of value. Rejects those that can no longer meet their
+    /// latency objective and those beyond the maximum length of the queue.
+    pub(super) fn process_queue(&mut self, now: Millis) {
+        for (position, queued) in self.drain_queue_by_value(now).into_iter().enumerate() {
             let id = queued.id;
             let limit = self.concurrency.limit();
-            // On a subset a request may wait for its server while the limit is not reached: that is no
-            // overload.
+            // A gateway that uses a subset of the servers may queue a request because no server of the subset
+            // can accept it, although the concurrency limit is not reached. This is no overload.
             let is_bounded = !self.selector.subset_active() || self.concurrency.is_exhausted();
             if is_bounded && position as f64 > MAX_QUEUE_SHARE * limit {
                 self.reject_or_fail(now, id);
             } else {
-                self.decide(now, id);
+                self.dispatch(now, id);
             }
         }
     }
 
-    /// Empties the queue into the order in which it is served.
-    fn take_queue(&mut self, now: Millis) -> Vec<Queued> {
+    /// Empties the queue and returns its requests in descending order of value. Rejects requests that can no
+    /// longer meet their latency objective.
+    fn drain_queue_by_value(&mut self, now: Millis) -> Vec<QueuedRequest> {
         let mut order = Vec::new();
         for id in std::mem::take(&mut self.queue) {
             if !self.requests.contains_key(&id) {
                 continue;
             }
             if self.can_meet_objective(now, id) {
-                order.extend(self.value_of(now, id).map(|value| Queued { id, value }));
+                order.extend(self.request_value(now, id).map(|value| QueuedRequest { id, value }));
             } else {
                 self.reject_or_fail(now, id);
             }
@@ -54,16 +57,16 @@
         order
     }
 
-    /// Value of a request per millisecond of service. Newer ones first among equals: under pressure the
-    /// oldest would only just miss their objective.
-    fn value_of(&self, now: Millis, id: RequestId) -> Option<f64> {
-        let in_flight = self.requests.get(&id)?;
-        let plan = self.settings.plans.get(in_flight.request.plan.0);
+    /// Value of a request per millisecond of service time. Of otherwise equal requests the newer one has the
+    /// higher value, because under overload the oldest requests would just miss their latency objective.
+    fn request_value(&self, now: Millis, id: RequestId) -> Option<f64> {
+        let tracked = self.requests.get(&id)?;
+        let plan = self.settings.plans.get(tracked.request.plan.0);
         let multiplier = plan.map_or(1.0, |plan| plan.priority_multiplier);
-        let service_time = self.class_latency(in_flight.request.class).max(1.0);
-        let value = in_flight.class.priority_weight * multiplier * in_flight.request.units / service_time;
-        let waited = now - in_flight.arrived_at;
-        let allowed = in_flight.objective_at - in_flight.arrived_at;
-        Some(value * (FRESH_FACTOR - waited / allowed))
+        let service_time = self.class_latency(tracked.request.class).max(1.0);
+        let value = tracked.class.priority_weight * multiplier * tracked.request.units / service_time;
+        let waited = now - tracked.arrived_at;
+        let allowed = tracked.objective_at - tracked.arrived_at;
+        Some(value * (INITIAL_VALUE_FACTOR - waited / allowed))
     }
 }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,4 +1,4 @@
-//! A request that this gateway has taken, and its attempts.
+//! A request that this gateway has received, and its attempts.
 
 use super::housekeeping::HOUSEKEEPING_INTERVAL;
 use super::quota::QuotaCheck;
@@ -11,26 +11,27 @@
 pub(super) struct Attempt {
     pub(super) server: ServerId,
     pub(super) started_at: Millis,
-    /// It has not ended.
+    /// Whether the attempt has not ended yet.
     pub(super) in_flight: bool,
-    /// Nothing proves that the server never executed it.
+    /// Whether the server may have executed the request. True until the outcome proves that it has not.
     pub(super) may_have_executed: bool,
 }
 
-/// A request from its arrival until its last attempt has ended.
+/// The state of a request from its arrival until its last attempt has ended.
 pub(super) struct TrackedRequest {
     pub(super) request: Request,
     pub(super) class: Class,
     pub(super) arrived_at: Millis,
-    /// When a response stops to earn its full value.
+    /// Time after which a response no longer has its full value.
     pub(super) objective_at: Millis,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub(super) deadline_at: Millis,
-    /// In the order in which they were started.
+    /// The attempts in the order in which they were started.
     pub(super) attempts: Vec<Attempt>,
-    /// A response has begun to stream to the client.
+    /// Whether the gateway has started to send a response to the client.
     pub(super) streaming: bool,
-    /// It has its final answer, or its client has gone; attempts may still be live.
+    /// Whether the request has its final answer or its client has disconnected. Attempts may still be in
+    /// flight.
     pub(super) finished: bool,
     pub(super) quota_check: QuotaCheck,
 }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The first attempt that a server may have executed.
+    /// The first attempt whose server may have executed the request.
     pub(super) fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_executed)
     }
@@ -59,14 +60,15 @@
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
-    /// Time-out of an attempt that starts now, ms: until the last moment at which a response earns anything.
+    /// Timeout of an attempt that starts now, ms. It ends when a response no longer has any value.
     pub(super) fn attempt_timeout(&self, now: Millis) -> Millis {
         let until = if self.class.late_value > 0.0 { self.deadline_at } else { self.objective_at };
         (until - now).max(1.0)
     }
 
-    /// Whether another attempt would break neither the idempotency of the class nor the number of attempts
-    /// allowed (0: any number). A window for repeats counts as over one housekeeping interval early.
+    /// Whether the idempotency of the class and `max_attempts` allow another attempt, and no response has
+    /// started. A `max_attempts` of 0 means that there is no limit. The window in which servers remember an
+    /// idempotency key is treated as one housekeeping interval shorter.
     pub(super) fn may_attempt_again(&self, now: Millis, max_attempts: u32) -> bool {
         let idempotency_allows = match (self.class.idempotency, self.first_possible_execution()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
@@ -79,7 +81,7 @@
         idempotency_allows && attempts_left && !self.streaming
     }
 
-    /// Whether a rejection keeps its promise that a retry by the client is harmless.
+    /// Whether the request may be rejected. A rejection promises the client that a retry is harmless.
     pub(super) fn is_safe_to_reject(&self) -> bool {
         let deduplicated_everywhere = matches!(
             self.class.idempotency,
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,33 +1,33 @@
-//! The retry budget: retries and hedged requests are paid for by first attempts, so that they stay a small
-//! share of the traffic while the servers are failing. A token bucket, as in Finagle's `RetryBudget`.
+//! The retry budget: limits retries and hedged requests to a small share of the first attempts, so that they
+//! add little traffic while servers are failing. It is a token bucket, as in Finagle's `RetryBudget`.
 
-/// Retries earned by each first attempt.
-const RATIO: f64 = 0.1;
-/// Retries that can be saved up; the budget starts full.
+/// Tokens that each first attempt adds to the budget. A retry or hedged request costs one token.
+const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.1;
+/// Maximum number of tokens in the budget, which starts full.
 const MAX_TOKENS: f64 = 10.0;
 
-/// Retries that may be made.
+/// The tokens that are available for retries and hedged requests.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub(super) fn new() -> Self {
         RetryBudget { tokens: MAX_TOKENS }
     }
 
-    /// A first attempt was made.
+    /// Adds the tokens of a first attempt.
     pub(super) fn deposit(&mut self) {
-        self.tokens = (self.tokens + RATIO).min(MAX_TOKENS);
+        self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
-    /// Whether a retry can be paid for.
+    /// Whether the budget allows a retry or hedged request.
     pub(super) fn is_available(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// A retry was made.
+    /// Removes the token of a retry or hedged request that was sent.
     pub(super) fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,24 +1,24 @@
-//! What a gateway is told once, at its start: request classes, plans and the limits of the deployment.
+//! Settings that a gateway gets once, when it starts: request classes, plans and limits of the deployment.
 //!
-//! The configuration file and the simulator name these fields otherwise; `docs/GLOSSARY.md` maps the names,
-//! and [`crate::config`] reads both forms.
+//! The configuration file and the simulator use other names for these fields. `docs/GLOSSARY.md` maps the
+//! names, and [`crate::config`] reads both forms.
 
 use crate::ids::Millis;
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Idempotency {
-    /// Any number of executions is harmless.
+    /// The request may be executed any number of times.
     #[default]
     Idempotent,
-    /// Servers of one scope drop repeated executions of the same idempotency key.
+    /// Servers of one scope execute requests with the same idempotency key only once.
     IdempotencyKey {
-        /// The servers that share the keys they have seen.
+        /// The servers among which a repeated key is recognized.
         scope: DeduplicationScope,
-        /// How long they remember a key, from the start of the first attempt; ms.
+        /// How long the servers remember a key, from the start of the first attempt, ms.
         window: Millis,
     },
-    /// At most one execution.
+    /// The request must be executed at most once.
     NonIdempotent,
 }
 
@@ -37,63 +37,65 @@
 /// A class of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// A response within this span earns its full value; ms.
+    /// Response time up to which a response has its full value, ms.
     pub latency_objective: Millis,
-    /// How long a client waits in all, over its retries; ms. 0: requests are not bounded by it.
+    /// Total time that a client waits, including its retries, ms; 0 means that the class sets no bound.
     pub deadline: Millis,
-    /// Share of the value that a response after the latency objective still earns, 0 to 1.
+    /// Share of its full value that a response has after the latency objective, 0 to 1.
     pub late_value: f64,
-    /// Value of one unit beside that of other classes.
+    /// Value of one unit of this class relative to the other classes.
     pub priority_weight: f64,
-    /// Whether a request may be executed again.
+    /// Whether a request of this class may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// A plan: the quotas of each tenant, over all gateways together.
+/// A plan. Its quotas apply to each tenant separately and to all gateways together.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Refill of the token bucket, units a second; 0: no such quota.
+    /// Refill rate of the quota's token bucket, units per second; 0 means that there is no quota.
     pub rate: f64,
-    /// Size of the token bucket, units.
+    /// Size of the quota's token bucket, units.
     pub burst: f64,
-    /// Attempts in flight at once, for tenants that are counted in batches; 0: no such quota.
+    /// Most attempts that a tenant may have in flight at once; 0 means that there is no such limit. It is
+    /// enforced only for tenants that are counted in batches.
     pub max_in_flight: f64,
-    /// Refill of the hard ceiling's token bucket, units a second; 0: no ceiling.
+    /// Refill rate of the hard ceiling's token bucket, units per second; 0 means that there is no ceiling.
     pub ceiling_rate: f64,
-    /// Size of the ceiling's token bucket, units. Each gateway keeps a part of it, which is empty at first.
+    /// Size of the ceiling's token bucket, units. Each gateway keeps an equal part of the bucket, which is
+    /// empty at first.
     pub ceiling_burst: f64,
-    /// Multiplier on the class's priority weight.
+    /// Multiplier of the class's priority weight.
     pub priority_multiplier: f64,
 }
 
-/// Everything a gateway's decisions are told at the start.
+/// All settings of a gateway's decisions.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateway_count: f64,
-    /// Classes of requests.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Plans of tenants.
+    /// The plans of tenants.
     pub plans: Vec<Plan>,
-    /// The most units that one request counts for.
+    /// Most units that one request consumes.
     pub max_units: f64,
-    /// Attempts that a request may have; 0: no limit.
+    /// Most attempts that a request may have; 0 means that there is no limit.
     pub max_attempts: u32,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub hedging_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Whether the gateway may cancel attempts.
     pub cancellation_allowed: bool,
-    /// Longest `Retry-After` that clients follow; ms.
+    /// Longest `Retry-After` that clients obey, ms.
     pub max_retry_after: Millis,
-    /// There is a counter service.
+    /// Whether there is a counter service.
     pub counter_enabled: bool,
-    /// The counter answers a call within this unless it queues too long; ms. How long a call is waited for
-    /// follows from it, see [`counter_call_timeout`](crate::policy::counter_call_timeout).
+    /// Time within which the counter answers a call unless its queue is too long, ms. The timeout of a call
+    /// is derived from it by [`counter_call_timeout`](crate::policy::counter_call_timeout).
     pub counter_timeout: Millis,
-    /// Endpoint lists come only when asked for.
+    /// Whether discovery sends endpoint lists only on request.
     pub poll_endpoints: bool,
-    /// Share of its capacity that a server has at its start, 0 to 1.
+    /// Share of its full capacity that a server has when it starts, 0 to 1.
     pub slow_start_capacity: f64,
-    /// Span after which a started server has its full capacity; ms.
+    /// Time from a server's start until it has its full capacity, ms.
     pub slow_start_window: Millis,
 }
--- a/tests/support/simulation.rs
+++ b/tests/support/simulation.rs
@@ -98,14 +98,14 @@
     /// Calls that all partitions together execute in a second; none: any number.
     calls_per_second: Option<f64>,
     /// Longest wait in the queue, ms.
-    max_queueing: Millis,
+    max_queue_delay: Millis,
 }
 
 impl CounterStub {
-    /// A counter with limited capacity. A call that would wait longer than `max_queueing` ms is rejected.
-    pub fn new(partitions: usize, calls_per_second: Option<f64>, max_queueing: Millis) -> Self {
+    /// A counter with limited capacity. A call that would wait longer than `max_queue_delay` ms is rejected.
+    pub fn new(partitions: usize, calls_per_second: Option<f64>, max_queue_delay: Millis) -> Self {
         let partition_free_at = vec![0.0; partitions];
-        CounterStub { totals: HashMap::new(), partition_free_at, calls_per_second, max_queueing }
+        CounterStub { totals: HashMap::new(), partition_free_at, calls_per_second, max_queue_delay }
     }
 
     /// A counter that answers any number of calls without delay.
@@ -125,7 +125,7 @@
         let partitions = self.partition_free_at.len();
         let free_at = &mut self.partition_free_at[(key.0 >> 7) as usize % partitions];
         let starts_at = free_at.max(now);
-        if starts_at - now > self.max_queueing {
+        if starts_at - now > self.max_queue_delay {
             return None;
         }
         if let Some(rate) = self.calls_per_second {
