--- a/tests/action_stream.rs
+++ b/tests/action_stream.rs
@@ -1,11 +1,12 @@
-//! The actions of the decision module over seeded events, through the simulator's wire, held by a hash each.
+//! Regression tests that compare all actions of a simulation with a recorded hash.
 //!
-//! A rewrite that is meant to change no decision has to leave every byte of these replies as it was: the
-//! actions, their order, and with them the order of random draws. Each scenario is a small closed world
-//! (servers, a list, a counter and clients) around two or three gateways. A hash that has changed on purpose
-//! is recorded anew in the commit that changes it, which says why.
+//! They guard against a refactoring that changes decisions by accident. Every byte of the replies in the
+//! simulator's protocol has to stay the same: the actions, their order and with it the order of random draws.
+//! Each scenario simulates servers, an endpoint list, a counter service and clients around two or three
+//! gateways, from a fixed seed. A commit that changes decisions on purpose records the new hash and explains
+//! the change.
 
-#[allow(dead_code)] // each file of tests uses its own part
+#[allow(dead_code)] // each test binary uses only some of it
 #[path = "support/frames.rs"]
 mod frames;
 #[path = "support/action_world.rs"]
@@ -13,7 +14,7 @@
 
 use world::{Scenario, World};
 
-/// Two zones, all kinds of idempotency, tenants with traffic enough for batched counting.
+/// Two zones, all kinds of idempotency, and tenants with enough traffic to be counted in batches.
 const BATCHED: &str = "balancers=2\nzone=0\nareas=a,b\n\
     classes.count=4\n\
     classes.0.deadline=1500.0\nclasses.0.goal_time=500.0\nclasses.0.idempotency=free\n\
@@ -33,7 +34,7 @@
     family_info.max_units=2\nsafety.start_capacity=0.2\nsafety.warm_after=4000.0\nsafety.overload_factor=2.0\n\
     safety.tip_after=2000.0\nreport.source=answers\nreport.columns=inflight,util\ndiscovery=pushed\n";
 
-/// A large fleet: each gateway sees little of a tenant, and uses a subset of the servers.
+/// A large fleet, in which each gateway gets few requests of a tenant and uses a subset of the servers.
 const LOW_TRAFFIC: &str = "balancers=100\nzone=0\nareas=a\n\
     classes.count=2\n\
     classes.0.deadline=1500.0\nclasses.0.goal_time=500.0\nclasses.0.idempotency=free\n\
@@ -49,7 +50,7 @@
     safety.start_capacity=0.3\nsafety.warm_after=3000.0\nsafety.overload_factor=2.0\nsafety.tip_after=1500.0\n\
     report.source=none\ndiscovery=pushed\n";
 
-/// No counter, lists by polling, no cancellation and no hedging.
+/// No counter service, endpoint lists on request only, no cancellation and no hedging.
 const WITHOUT_COUNTER: &str = "balancers=3\nzone=0\nareas=a,b\n\
     classes.count=2\n\
     classes.0.deadline=1000.0\nclasses.0.idempotency=free\n\
@@ -57,7 +58,7 @@
     plans.count=1\nplans.0.rate=5.0\nplans.0.store_size=10.0\n\
     ceilings.max_retry_after=0.0\nfamily_info.shared_counter=false\ndiscovery=on_request\n";
 
-/// A short window for repeated idempotency keys under a long latency objective.
+/// Servers remember idempotency keys for a shorter time than the latency objective.
 const SHORT_WINDOW: &str = "balancers=2\nzone=0\nareas=a,b\n\
     classes.count=2\n\
     classes.0.deadline=2000.0\nclasses.0.goal_time=900.0\nclasses.0.idempotency=guarded\nclasses.0.group=all\n\
@@ -74,9 +75,13 @@
 fn assert_digest(scenario: &Scenario, expected: u64) {
     let mut world = World::new(scenario);
     let digest = world.run();
-    println!("{:#018x} after {:?}", digest, world.counts());
-    assert!(world.counts().requests > 1000, "too few requests: {:?}", world.counts());
-    assert_eq!(digest, expected, "{:#018x}: the actions are not those that were recorded", digest);
+    println!("digest {:#018x} after {:?}", digest, world.counts());
+    assert!(world.counts().requests > 1000, "the scenario sent too few requests: {:?}", world.counts());
+    assert_eq!(
+        digest, expected,
+        "the actions changed: their digest {:#018x} is not the recorded one",
+        digest
+    );
 }
 
 #[test]
@@ -136,8 +141,11 @@
 
 #[test]
 fn low_traffic_tenants_with_a_congested_counter() {
-    let scenario =
-        Scenario { counter_delay: 55.0, counter_rejects: 0.2, ..Scenario::without_faults(LOW_TRAFFIC, 6) };
+    let scenario = Scenario {
+        counter_delay: 55.0,
+        counter_reject_share: 0.2,
+        ..Scenario::without_faults(LOW_TRAFFIC, 6)
+    };
     assert_digest(
         &Scenario { gateways: 3, servers: 20, tenants: 60, rate: 200.0, ..scenario },
         0x9f1b_4b4a_053f_2e74,
@@ -158,5 +166,5 @@
     let scenario = Scenario::without_faults(SHORT_WINDOW, 8).with_all_faults();
     let scenario = Scenario { gateways: 2, servers: 8, tenants: 10, rate: 120.0, ..scenario };
     let scenario = Scenario { long_faults: true, ..scenario };
-    assert_digest(&Scenario { span: 130_000.0, ..scenario }, 0x464d_b8cf_8013_4b0d);
+    assert_digest(&Scenario { duration: 130_000.0, ..scenario }, 0x464d_b8cf_8013_4b0d);
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,5 @@
-//! Rules of the decisions, and each failure that was found, as small scripts of events for one gateway.
+//! Tests of the policy's rules and regression tests for failures that were found. Each test feeds a short
+//! sequence of events to a gateway, or to a small fleet, and checks the resulting actions.
 
 #[path = "policy/counter.rs"]
 mod counter;
@@ -10,6 +11,6 @@
 mod retries;
 #[path = "policy/rig.rs"]
 mod rig;
-#[allow(dead_code)] // each file of tests uses its own part
+#[allow(dead_code)] // each test binary uses only some of it
 #[path = "support/simulation.rs"]
 mod simulation;
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries by idempotency, and requests that nothing can serve.
+//! Tests of retries for each kind of idempotency, and of requests that no server can accept.
 
 use crate::rig::{settings, Received, Rig};
 use crate::simulation::{complete_list, ready_endpoint};
@@ -17,54 +17,61 @@
 fn a_non_idempotent_request_that_may_have_executed_fails_and_is_not_rejected_or_retried() {
     let mut rig = Rig::new(settings_with(Idempotency::NonIdempotent), 4);
     let Received { id, actions } = rig.request(1000.0);
-    let server = actions.forwarded_to().expect("forwarded");
+    let server = actions.forwarded_to().expect("the request was not forwarded");
     let after = rig.end_attempt(1050.0, id, server, Outcome::Reset);
-    assert!(after.0.contains(&Action::Fail(id)));
-    assert!(!after.is_forwarded() && !after.is_rejected());
+    assert!(after.0.contains(&Action::Fail(id)), "the request did not fail: {after:?}");
+    assert!(!after.is_forwarded() && !after.is_rejected(), "the request was retried or rejected: {after:?}");
 }
 
 #[test]
 fn a_non_idempotent_request_that_was_not_executed_is_retried_at_another_server() {
     let mut rig = Rig::new(settings_with(Idempotency::NonIdempotent), 4);
     let Received { id, actions } = rig.request(1000.0);
-    let server = actions.forwarded_to().expect("forwarded");
+    let server = actions.forwarded_to().expect("the request was not forwarded");
     let after = rig.end_attempt(1050.0, id, server, Outcome::ConnectFailed);
-    assert!(after.forwarded_to().is_some_and(|other| other != server));
+    assert!(
+        after.forwarded_to().is_some_and(|other| other != server),
+        "the request was not retried at a server other than {server:?}: {after:?}"
+    );
 }
 
 #[test]
-fn a_request_with_an_idempotency_key_is_retried_in_its_zone() {
+fn a_request_with_an_idempotency_key_is_retried_at_another_server_of_the_same_zone() {
     let scope = DeduplicationScope::Zone;
     let mut rig = Rig::new(settings_with(Idempotency::IdempotencyKey { scope, window: 4000.0 }), 0);
     let in_zone = |server| Endpoint { zone: (server % 2) as u16, ..ready_endpoint(server) };
     rig.handle(1.0, complete_list((1..=6).map(in_zone).collect()));
     let Received { id, actions } = rig.request(1000.0);
-    let first = actions.forwarded_to().expect("forwarded");
+    let first = actions.forwarded_to().expect("the request was not forwarded");
     let after = rig.end_attempt(1050.0, id, first, Outcome::Reset);
-    let second = after.forwarded_to().expect("retried");
-    assert_eq!(first.0 % 2, second.0 % 2);
-    assert_ne!(first, second);
+    let second = after.forwarded_to().expect("the request was not retried");
+    assert_eq!(first.0 % 2, second.0 % 2, "the request was retried in another zone");
+    assert_ne!(first, second, "the request was retried at the same server");
 }
 
 #[test]
-fn a_request_that_nothing_can_serve_is_rejected_in_time() {
+fn a_request_that_no_server_can_accept_is_rejected_before_its_client_gives_up() {
     let mut rig = Rig::new(settings(), 0);
     let Received { id, actions } = rig.request(1000.0);
-    assert!(!actions.is_forwarded());
+    assert!(!actions.is_forwarded(), "the request was forwarded without any server: {actions:?}");
     let mut rejected = actions.is_rejected();
     for period in 1..75 {
         let after = rig.timer(1000.0 + 20.0 * f64::from(period));
         rejected |= after.0.iter().any(|action| matches!(action, Action::Reject { id: of, .. } if *of == id));
     }
-    assert!(rejected);
+    assert!(rejected, "the request was not rejected before its client gave up");
 }
 
-/// Found on a bench drill: a client's retry with a few ms left was queued and never answered, because it ran
-/// out before the next timer.
+/// Guards against a request that is never answered. A client's retry with a few ms left was queued, and its
+/// time ran out before the next housekeeping timer.
 #[test]
-fn a_request_that_runs_out_before_the_next_timer_is_rejected_at_once() {
+fn a_request_whose_time_runs_out_before_the_next_timer_is_rejected_on_arrival() {
     let mut rig = Rig::new(settings(), 0);
     let id = RequestId(5);
     let request = Request { id, units: 1.0, time_left: 6.0, gateway_count: 2.0, ..Request::default() };
-    assert!(rig.handle(1000.0, Event::Request(request)).is_rejected());
+    assert!(
+        rig.handle(1000.0, Event::Request(request)).is_rejected(),
+        "the request was not rejected on arrival: {:?}",
+        rig.last_actions
+    );
 }
--- a/tests/policy/rig.rs
+++ b/tests/policy/rig.rs
@@ -1,4 +1,4 @@
-//! One gateway, driven by events at chosen times, and what the tests look for in its actions.
+//! The gateway under test, to which tests send events at chosen times, and helpers to inspect its actions.
 
 use crate::simulation::{attempt_ended, complete_list, forwarded_to, ready_endpoints};
 use rate_limiting_gateway::action::Action;
@@ -7,14 +7,14 @@
 use rate_limiting_gateway::policy::Gateway;
 use rate_limiting_gateway::settings::{Class, Plan, Settings};
 
-/// Seed of the gateway in [`Rig::new`].
+/// Seed of the gateway that [`Rig::new`] creates.
 const SEED: u64 = 11;
-/// The time after which a request's client gives up, ms.
+/// Time after which the client of a request gives up, ms.
 pub const TIME_LEFT: Millis = 1500.0;
-/// Response time of servers, ms.
+/// Response time of the servers, ms.
 const RESPONSE_TIME: Millis = 50.0;
 
-/// Three gateways, and one plan of 5 requests a second with a burst of 10.
+/// Settings of a fleet of three gateways with one plan of 5 requests per second and a burst of 10.
 pub fn settings() -> Settings {
     Settings {
         gateway_count: 3.0,
@@ -37,45 +37,45 @@
     }
 }
 
-/// Five hundred gateways with one plan: each sees a tenant rarely.
+/// Settings of a fleet of 500 gateways with one plan, in which each gateway gets few requests of a tenant.
 pub fn large_fleet_settings(rate: f64, burst: f64) -> Settings {
     let plan = Plan { rate, burst, priority_multiplier: 1.0, ..Plan::default() };
     Settings { gateway_count: 500.0, plans: vec![plan], ..settings() }
 }
 
-/// A call to the counter.
+/// A call of the gateway to the counter service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
     pub key: CounterKey,
     pub add: f64,
 }
 
-/// The actions that followed from an event.
+/// The actions that resulted from an event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Actions(pub Vec<Action>);
 
 impl Actions {
-    /// The server of the first attempt.
+    /// The server of the first attempt that the actions start.
     pub fn forwarded_to(&self) -> Option<ServerId> {
         forwarded_to(&self.0)
     }
 
-    /// A request was forwarded.
+    /// Whether a request was forwarded.
     pub fn is_forwarded(&self) -> bool {
         self.forwarded_to().is_some()
     }
 
-    /// A request was rejected.
+    /// Whether a request was rejected.
     pub fn is_rejected(&self) -> bool {
         self.0.iter().any(|action| matches!(action, Action::Reject { .. }))
     }
 
-    /// Neither forwarded nor rejected yet.
+    /// Whether the request was neither forwarded nor rejected.
     pub fn is_queued(&self) -> bool {
         !self.is_forwarded() && !self.is_rejected()
     }
 
-    /// The `Retry-After` of a rejection, ms.
+    /// The `Retry-After` of the first rejection, ms.
     pub fn retry_after(&self) -> Option<Millis> {
         self.0.iter().find_map(|action| match action {
             Action::Reject { retry_after, .. } => Some(*retry_after),
@@ -83,7 +83,7 @@
         })
     }
 
-    /// The calls to the counter.
+    /// All calls to the counter service.
     pub fn counter_calls(&self) -> Vec<CounterCall> {
         let call = |action: &Action| match action {
             Action::IncrementCounter { key, add, .. } => Some(CounterCall { key: *key, add: *add }),
@@ -92,28 +92,28 @@
         self.0.iter().filter_map(call).collect()
     }
 
-    /// The first call to the counter.
+    /// The first call to the counter service. Panics if there is none.
     pub fn counter_call(&self) -> CounterCall {
         self.counter_calls()[0]
     }
 }
 
-/// A request that has come in, and the actions that followed.
+/// The id of a request that the gateway received, and the actions that resulted from it.
 pub struct Received {
     pub id: RequestId,
     pub actions: Actions,
 }
 
-/// One gateway, driven by events.
+/// The gateway under test.
 pub struct Rig {
     pub gateway: Gateway,
-    /// The actions that followed from the last event.
+    /// The actions that resulted from the last event.
     pub last_actions: Actions,
     next_request: u32,
 }
 
 impl Rig {
-    /// A gateway that holds a cached list of ready servers, numbered from 1.
+    /// Creates a gateway with a cached list of ready servers, numbered from 1.
     pub fn new(settings: Settings, servers: u32) -> Self {
         let mut rig = Rig::without_list(settings, SEED);
         let entries = ready_endpoints(servers);
@@ -121,7 +121,7 @@
         rig
     }
 
-    /// A gateway that holds a complete list of ready servers, numbered from 1.
+    /// Creates a gateway with a complete list of ready servers, numbered from 1.
     pub fn with_complete_list(settings: Settings, seed: u64, servers: u32) -> Self {
         let mut rig = Rig::without_list(settings, seed);
         rig.handle(0.0, complete_list(ready_endpoints(servers)));
@@ -132,7 +132,7 @@
         Rig { gateway: Gateway::new(settings, seed), last_actions: Actions::default(), next_request: 1 }
     }
 
-    /// Feeds an event to the gateway at a time, ms.
+    /// Sends an event to the gateway at the time `now`, ms, and returns the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event) -> Actions {
         let mut actions = Vec::new();
         self.gateway.handle(now, event, &mut actions);
@@ -140,22 +140,22 @@
         self.last_actions.clone()
     }
 
-    /// Fires the timer.
+    /// Fires the housekeeping timer.
     pub fn timer(&mut self, now: Millis) -> Actions {
         self.handle(now, Event::Timer(0))
     }
 
-    /// A tenant that no request was of.
+    /// A tenant that has not sent a request yet.
     pub fn next_tenant(&self) -> TenantId {
         TenantId(u64::from(self.next_request) + 1)
     }
 
-    /// A request of the first tenant, through three gateways.
+    /// Sends a request of the first tenant, whose requests are received by three gateways.
     pub fn request(&mut self, now: Millis) -> Received {
         self.request_like(now, Request { gateway_count: 3.0, ..Request::default() })
     }
 
-    /// A request of one unit with an id of its own, otherwise like the given one.
+    /// Sends a request like the given one, but with a new id, one unit and [`TIME_LEFT`].
     pub fn request_like(&mut self, now: Millis, request: Request) -> Received {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -168,7 +168,8 @@
         self.handle(now, attempt_ended(id, 0, server, outcome, RESPONSE_TIME))
     }
 
-    /// Sends requests of the first tenant, answering each before the next; how many were forwarded.
+    /// Sends requests of the first tenant and ends each forwarded attempt before the next request. Returns
+    /// how many requests were forwarded.
     pub fn send_burst(&mut self, now: Millis, requests: usize) -> usize {
         let mut forwarded = 0;
         for _ in 0..requests {
--- a/tests/support/action_world.rs
+++ b/tests/support/action_world.rs
@@ -1,6 +1,6 @@
-//! A small closed world around a few gateways on the simulator's wire: servers that answer, fail or fall
-//! silent, a list that changes, a counter, and clients. Everything follows from the seed and from what the
-//! gateways do.
+//! A simulated environment for a few gateways, which it drives over the simulator's protocol: servers that
+//! answer, fail or stop responding, an endpoint list that changes, a counter service, and clients. The seed
+//! and the actions of the gateways determine everything that happens.
 
 use super::frames::{event_code, frame, record};
 use rand_core::{RngCore, SeedableRng};
@@ -9,12 +9,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Simulated time begins here, ms.
+/// Time at which the simulation starts, ms.
 const START: f64 = 100_000.0;
-/// Bytes of an action record and of a reply's header.
+/// Bytes of an action record.
 const ACTION_BYTES: usize = 32;
+/// Bytes of the header of a reply.
 const REPLY_HEADER_BYTES: usize = 8;
-/// Codes of outcomes on the wire.
+/// Codes of outcomes in event records.
 const OK: u8 = 0;
 const ERROR: u8 = 13;
 const REJECTED: u8 = 8;
@@ -22,7 +23,7 @@
 const CONNECT_FAILED: u8 = 14;
 const RESET: u8 = 10;
 const CANCELLED: u8 = 1;
-/// States of a server on the wire.
+/// Codes of server states in endpoint entries.
 const REMOVED: u8 = 0;
 const READY: u8 = 1;
 const DRAINING: u8 = 2;
@@ -35,30 +36,31 @@
 const WATCH_ENDPOINTS: u16 = 1100;
 const INCREMENT_COUNTER: u16 = 1120;
 
-/// What is simulated.
+/// The load and the faults of a simulation.
 pub struct Scenario {
-    /// Settings text of every gateway.
+    /// Settings of every gateway, as `path=value` lines.
     pub settings: &'static str,
     pub seed: u64,
     pub gateways: u32,
     pub servers: u32,
     pub tenants: u64,
-    /// Requests a second at all gateways together.
+    /// Requests per second at all gateways together.
     pub rate: f64,
-    /// Simulated time, ms.
-    pub span: f64,
-    /// Servers slow down with the attempts in flight at them.
+    /// Length of the simulation, ms.
+    pub duration: f64,
+    /// Each attempt in flight slows its server down 16 times as much as without this.
     pub overloaded: bool,
-    /// Servers fail, hang, drain, vanish and come back cold; responses are lost; clients disconnect.
+    /// Servers fail, hang, drain, are removed and restart cold; connections are reset; clients disconnect.
     pub server_faults: bool,
-    /// The counter is silent for a while, and replies are lost.
+    /// The counter service does not respond for 5 s, and some of its replies are lost.
     pub counter_faults: bool,
-    /// A call to the counter takes about this long, ms.
+    /// Mean duration of a call to the counter service, ms.
     pub counter_delay: f64,
-    /// Share of the calls that are rejected.
-    pub counter_rejects: f64,
-    /// Tenants change every 20 s, so that they fall idle and return; all counter calls of 5 s are rejected; a
-    /// server that breaks stays so for 30 s; connections are reset after about 300 ms.
+    /// Share of counter calls that the counter service rejects.
+    pub counter_reject_share: f64,
+    /// The set of tenants changes every 20 s, so that tenants become idle and return. The counter service
+    /// rejects all calls for 5 s. A faulty server stays faulty for 30 s instead of 4 s. Some connections are
+    /// reset, after about 300 ms.
     pub long_faults: bool,
 }
 
@@ -72,23 +74,23 @@
             servers: 6,
             tenants: 10,
             rate: 100.0,
-            span: 40_000.0,
+            duration: 40_000.0,
             overloaded: false,
             server_faults: false,
             counter_faults: false,
             counter_delay: 3.0,
-            counter_rejects: 0.0,
+            counter_reject_share: 0.0,
             long_faults: false,
         }
     }
 
-    /// The same scenario with every kind of fault.
+    /// The same scenario with faults of the servers and of the counter service.
     pub fn with_all_faults(self) -> Self {
         Scenario { server_faults: true, counter_faults: true, ..self }
     }
 }
 
-/// How often the gateways did what; a scenario that does not reach a rule shows here.
+/// How often the gateways took each action. The counts show whether a scenario exercises a rule at all.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub requests: u32,
@@ -97,14 +99,14 @@
     pub failed: u32,
     pub cancelled: u32,
     pub counter_calls: u32,
-    pub watches: u32,
+    pub endpoint_watches: u32,
 }
 
-/// An event that is due for one gateway, or a change of the world itself.
-enum Scheduled {
+/// An event scheduled for one gateway, or a change of the environment.
+enum ScheduledEvent {
     RequestArrives,
     EndpointsChange,
-    Event { gateway: u32, record: Vec<u8> },
+    GatewayEvent { gateway: u32, record: Vec<u8> },
     AttemptEnds { gateway: u32, request: u32, attempt: u8, outcome: u8 },
     ClientDisconnects { gateway: u32, request: u32 },
     Timer { gateway: u32, token: u64 },
@@ -117,7 +119,7 @@
 }
 
 #[derive(Default)]
-struct InFlightRequest {
+struct RequestState {
     answered: bool,
     attempts: Vec<Attempt>,
 }
@@ -127,21 +129,21 @@
     state: u8,
     started: f64,
     in_flight: f64,
-    /// Nothing it is sent ends well before this.
-    broken_until: f64,
+    /// Until this time, attempts at the server fail or hang.
+    faulty_until: f64,
 }
 
-/// The world and its gateways.
+/// The simulated environment and its gateways.
 pub struct World<'a> {
     scenario: &'a Scenario,
     host: Host,
     rng: Pcg64Mcg,
     now: f64,
-    due: BTreeMap<u64, Scheduled>,
+    scheduled: BTreeMap<u64, ScheduledEvent>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     sequence: u64,
     servers: Vec<Server>,
-    requests: BTreeMap<(u32, u32), InFlightRequest>,
+    requests: BTreeMap<(u32, u32), RequestState>,
     totals: BTreeMap<u64, f32>,
     counts: Counts,
     digest: u64,
@@ -161,13 +163,13 @@
 
 impl<'a> World<'a> {
     pub fn new(scenario: &'a Scenario) -> Self {
-        let server = Server { state: READY, started: 0.0, in_flight: 0.0, broken_until: 0.0 };
+        let server = Server { state: READY, started: 0.0, in_flight: 0.0, faulty_until: 0.0 };
         World {
             scenario,
             host: Host::default(),
             rng: Pcg64Mcg::seed_from_u64(scenario.seed),
             now: START,
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
             servers: vec![server; scenario.servers as usize],
@@ -183,26 +185,26 @@
         self.counts
     }
 
-    /// Runs the scenario; the digest of all reply frames.
+    /// Runs the scenario and returns the digest of all reply frames.
     pub fn run(&mut self) -> u64 {
         for gateway in 0..self.scenario.gateways {
             self.start_gateway(gateway);
         }
-        self.schedule(0.0, Scheduled::RequestArrives);
-        self.schedule(1500.0, Scheduled::EndpointsChange);
+        self.schedule(0.0, ScheduledEvent::RequestArrives);
+        self.schedule(1500.0, ScheduledEvent::EndpointsChange);
         while let Some(Reverse((at, number))) = self.queue.pop() {
             self.now = at as f64 / 1000.0;
-            if self.now > START + self.scenario.span {
+            if self.now > START + self.scenario.duration {
                 break;
             }
-            if let Some(due) = self.due.remove(&number) {
-                self.fire(due);
+            if let Some(event) = self.scheduled.remove(&number) {
+                self.handle_event(event);
             }
         }
         self.digest
     }
 
-    fn random_share(&mut self) -> f64 {
+    fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
@@ -210,10 +212,10 @@
         self.rng.next_u64() % below.max(1)
     }
 
-    fn schedule(&mut self, after: f64, due: Scheduled) {
+    fn schedule(&mut self, after: f64, event: ScheduledEvent) {
         let at = ((self.now + after.max(0.0)) * 1000.0) as u64;
         self.sequence += 1;
-        self.due.insert(self.sequence, due);
+        self.scheduled.insert(self.sequence, event);
         self.queue.push(Reverse((at, self.sequence)));
     }
 
@@ -221,16 +223,18 @@
         self.now - START
     }
 
-    fn fire(&mut self, due: Scheduled) {
-        match due {
-            Scheduled::RequestArrives => self.request_arrives(),
-            Scheduled::EndpointsChange => self.change_endpoints(),
-            Scheduled::Event { gateway, record } => self.send_event(gateway, record, &[]),
-            Scheduled::AttemptEnds { gateway, request, attempt, outcome } => {
+    fn handle_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::RequestArrives => self.request_arrives(),
+            ScheduledEvent::EndpointsChange => self.change_endpoints(),
+            ScheduledEvent::GatewayEvent { gateway, record } => self.send_event(gateway, record, &[]),
+            ScheduledEvent::AttemptEnds { gateway, request, attempt, outcome } => {
                 self.end_attempt(gateway, request, attempt, outcome);
             }
-            Scheduled::ClientDisconnects { gateway, request } => self.disconnect_client(gateway, request),
-            Scheduled::Timer { gateway, token } => {
+            ScheduledEvent::ClientDisconnects { gateway, request } => {
+                self.disconnect_client(gateway, request)
+            }
+            ScheduledEvent::Timer { gateway, token } => {
                 self.send_event(
                     gateway,
                     record(event_code::TIMER, gateway, &[(6, &token.to_le_bytes())]),
@@ -253,11 +257,11 @@
         let all: Vec<u32> = (0..self.scenario.servers).collect();
         let offset = (text.len() as u32).to_le_bytes();
         let count = (all.len() as u32).to_le_bytes();
-        // As cached: half of the list.
+        // The cached list contains the first half of the servers.
         let half = (all.len() as u32 / 2).to_le_bytes();
         let cached = record(event_code::ENDPOINTS_CHANGED, gateway, &[(6, &[2]), (11, &offset), (15, &half)]);
         let tail = [text, &self.entries(&all)].concat();
-        self.exchange(gateway, &[started, cached], &tail);
+        self.send_frame(gateway, &[started, cached], &tail);
         let complete = record(event_code::ENDPOINTS_CHANGED, gateway, &[(6, &[1]), (15, &count)]);
         let entries = self.entries(&all);
         self.send_event(gateway, complete, &entries);
@@ -281,11 +285,11 @@
     fn request_arrives(&mut self) {
         let peak = (10_000.0..15_000.0).contains(&self.elapsed());
         let rate = if peak { 2.0 * self.scenario.rate } else { self.scenario.rate };
-        let wait = -(1.0 - self.random_share()).ln() * 1000.0 / rate;
-        self.schedule(wait, Scheduled::RequestArrives);
+        let wait = -(1.0 - self.uniform()).ln() * 1000.0 / rate;
+        self.schedule(wait, ScheduledEvent::RequestArrives);
         let gateway = self.random_below(u64::from(self.scenario.gateways)) as u32;
-        // Few tenants send most requests, so that some go beyond their quota.
-        let skewed_share = self.random_share() * self.random_share();
+        // A few tenants send most of the requests, so that some tenants exceed their quota.
+        let skewed_share = self.uniform() * self.uniform();
         let mut tenant = (skewed_share * self.scenario.tenants as f64) as u64;
         if self.scenario.long_faults {
             let phase = (self.elapsed() / 20_000.0) as u64;
@@ -296,11 +300,11 @@
         let class = self.random_below(classes) as u16;
         let plan = (tenant % plans) as u32;
         let gateway_count = integer_setting(self.scenario.settings, "balancers") as f32;
-        let units: f32 = if self.random_share() < 0.2 { 2.0 } else { 1.0 };
-        let time_left = if self.random_share() < 0.1 { 30.0 + 400.0 * self.random_share() } else { 1000.0 };
+        let units: f32 = if self.uniform() < 0.2 { 2.0 } else { 1.0 };
+        let time_left = if self.uniform() < 0.1 { 30.0 + 400.0 * self.uniform() } else { 1000.0 };
         self.counts.requests += 1;
         let request = self.counts.requests;
-        self.requests.insert((gateway, request), InFlightRequest::default());
+        self.requests.insert((gateway, request), RequestState::default());
         let arrival = record(
             event_code::REQUEST,
             gateway,
@@ -314,20 +318,20 @@
                 (38, &(tenant + 1).to_le_bytes()),
             ],
         );
-        if self.scenario.server_faults && self.random_share() < 0.05 {
-            let after = 200.0 * self.random_share();
-            self.schedule(after, Scheduled::ClientDisconnects { gateway, request });
+        if self.scenario.server_faults && self.uniform() < 0.05 {
+            let after = 200.0 * self.uniform();
+            self.schedule(after, ScheduledEvent::ClientDisconnects { gateway, request });
         }
         self.send_event(gateway, arrival, &[]);
     }
 
     fn disconnect_client(&mut self, gateway: u32, request: u32) {
-        let Some(in_flight_request) =
+        let Some(request_state) =
             self.requests.get_mut(&(gateway, request)).filter(|request| !request.answered)
         else {
             return;
         };
-        in_flight_request.answered = true;
+        request_state.answered = true;
         self.send_event(
             gateway,
             record(event_code::CLIENT_DISCONNECTED, gateway, &[(6, &request.to_le_bytes())]),
@@ -336,16 +340,16 @@
     }
 
     fn end_attempt(&mut self, gateway: u32, request: u32, attempt: u8, outcome: u8) {
-        let Some(in_flight_request) = self.requests.get_mut(&(gateway, request)) else { return };
+        let Some(request_state) = self.requests.get_mut(&(gateway, request)) else { return };
         let Some(ended_attempt) =
-            in_flight_request.attempts.get_mut(usize::from(attempt)).filter(|attempt| attempt.in_flight)
+            request_state.attempts.get_mut(usize::from(attempt)).filter(|attempt| attempt.in_flight)
         else {
             return;
         };
         ended_attempt.in_flight = false;
-        in_flight_request.answered |= outcome == OK;
+        request_state.answered |= outcome == OK;
         let (server, elapsed, complete) =
-            (ended_attempt.server, self.now - ended_attempt.sent, u8::from(in_flight_request.answered));
+            (ended_attempt.server, self.now - ended_attempt.sent, u8::from(request_state.answered));
         self.servers[server as usize - 1].in_flight -= 1.0;
         let ended = record(
             event_code::ATTEMPT_ENDED,
@@ -360,25 +364,25 @@
         self.send_event(gateway, ended, &[]);
     }
 
-    /// Some servers drain, go, break or come back cold. All gateways are notified, by an incremental or a
-    /// complete list.
+    /// Makes some servers faulty, draining or removed, or restarts them cold. Sends all gateways the same
+    /// update: an incremental list, a complete list, or the notice that the list could not be fetched.
     fn change_endpoints(&mut self) {
-        self.schedule(1500.0, Scheduled::EndpointsChange);
+        self.schedule(1500.0, ScheduledEvent::EndpointsChange);
         if !self.scenario.server_faults {
             return;
         }
-        let broken_for = if self.scenario.long_faults { 30_000.0 } else { 4000.0 };
+        let fault_duration = if self.scenario.long_faults { 30_000.0 } else { 4000.0 };
         let mut changed = Vec::new();
         for _ in 0..1 + self.scenario.servers / 10 {
             let number = self.random_below(u64::from(self.scenario.servers)) as u32;
-            let roll = self.random_share();
+            let roll = self.uniform();
             let now = self.now;
             let server = &mut self.servers[number as usize];
             match server.state {
-                READY if roll < 0.4 => server.broken_until = now + broken_for,
+                READY if roll < 0.4 => server.faulty_until = now + fault_duration,
                 READY if roll < 0.7 => server.state = DRAINING,
                 READY => server.state = REMOVED,
-                _ => (server.state, server.started, server.broken_until) = (READY, now, 0.0),
+                _ => (server.state, server.started, server.faulty_until) = (READY, now, 0.0),
             }
             changed.push(number);
         }
@@ -399,10 +403,10 @@
     }
 
     fn send_event(&mut self, gateway: u32, event: Vec<u8>, tail: &[u8]) {
-        self.exchange(gateway, &[event], tail);
+        self.send_frame(gateway, &[event], tail);
     }
 
-    fn exchange(&mut self, gateway: u32, events: &[Vec<u8>], tail: &[u8]) {
+    fn send_frame(&mut self, gateway: u32, events: &[Vec<u8>], tail: &[u8]) {
         let reply = self.host.answer(&frame(self.now, events, tail)).unwrap();
         for byte in &reply {
             self.digest = (self.digest ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
@@ -429,61 +433,67 @@
             CANCEL => {
                 self.counts.cancelled += 1;
                 let (attempt, outcome) = (action[10], CANCELLED);
-                self.schedule(0.0, Scheduled::AttemptEnds { gateway, request, attempt, outcome });
+                self.schedule(0.0, ScheduledEvent::AttemptEnds { gateway, request, attempt, outcome });
             }
             TIMER => {
                 let token = u64_at(action, 14);
-                self.schedule(f64_at(action, 6), Scheduled::Timer { gateway, token });
+                self.schedule(f64_at(action, 6), ScheduledEvent::Timer { gateway, token });
             }
-            WATCH_ENDPOINTS => self.counts.watches += 1,
+            WATCH_ENDPOINTS => self.counts.endpoint_watches += 1,
             INCREMENT_COUNTER => {
                 self.increment_counter(gateway, u64_at(action, 6), f32::from_bits(u32_at(action, 14)))
             }
-            code => panic!("unknown action {code}"),
+            code => panic!("gateway {gateway} returned an action record with the unknown code {code}"),
         }
     }
 
     fn complete_request(&mut self, gateway: u32, request: u32) {
-        if let Some(in_flight_request) = self.requests.get_mut(&(gateway, request)) {
-            assert!(!in_flight_request.answered, "a second answer to {request}");
-            in_flight_request.answered = true;
+        if let Some(request_state) = self.requests.get_mut(&(gateway, request)) {
+            assert!(
+                !request_state.answered,
+                "request {request} of gateway {gateway} got a second final answer"
+            );
+            request_state.answered = true;
         }
     }
 
     fn forward(&mut self, gateway: u32, request: u32, server: u32, timeout: f64) {
         self.counts.forwarded += 1;
         let sent = self.now;
-        let in_flight_request = self.requests.get_mut(&(gateway, request)).unwrap();
-        assert!(!in_flight_request.answered, "an attempt after the answer to {request}");
-        let attempt = in_flight_request.attempts.len() as u8;
-        in_flight_request.attempts.push(Attempt { server, sent, in_flight: true });
-        let (mut elapsed, mut outcome) = self.serve(server as usize - 1);
+        let request_state = self.requests.get_mut(&(gateway, request)).unwrap();
+        assert!(
+            !request_state.answered,
+            "request {request} of gateway {gateway} was forwarded after its final answer"
+        );
+        let attempt = request_state.attempts.len() as u8;
+        request_state.attempts.push(Attempt { server, sent, in_flight: true });
+        let (mut elapsed, mut outcome) = self.serve_attempt(server as usize - 1);
         self.servers[server as usize - 1].in_flight += 1.0;
         if elapsed >= timeout {
             (elapsed, outcome) = (timeout, TIMED_OUT);
         }
-        if self.random_share() < 0.02 {
+        if self.uniform() < 0.02 {
             let started = record(
                 event_code::RESPONSE_STARTED,
                 gateway,
                 &[(6, &request.to_le_bytes()), (10, &[attempt])],
             );
-            self.schedule(elapsed / 2.0, Scheduled::Event { gateway, record: started });
+            self.schedule(elapsed / 2.0, ScheduledEvent::GatewayEvent { gateway, record: started });
         }
-        self.schedule(elapsed, Scheduled::AttemptEnds { gateway, request, attempt, outcome });
+        self.schedule(elapsed, ScheduledEvent::AttemptEnds { gateway, request, attempt, outcome });
     }
 
-    /// How long a server takes, ms, and how it ends.
-    fn serve(&mut self, index: usize) -> (f64, u8) {
+    /// Time after which an attempt at a server ends, ms, and its outcome.
+    fn serve_attempt(&mut self, index: usize) -> (f64, u8) {
         let server = self.servers[index];
         let load = if self.scenario.overloaded { server.in_flight } else { server.in_flight / 16.0 };
-        let work = 20.0 + 40.0 * self.random_share();
+        let work = 20.0 + 40.0 * self.uniform();
         let service_time = work * (1.0 + load);
-        let roll = self.random_share();
+        let roll = self.uniform();
         if server.state == REMOVED {
             return (250.0, CONNECT_FAILED);
         }
-        if server.broken_until > self.now {
+        if server.faulty_until > self.now {
             return [(5.0, ERROR), (9_000.0, OK), (1.0, RESET), (2.0, REJECTED)][index % 4];
         }
         match roll {
@@ -497,23 +507,23 @@
         }
     }
 
-    fn increment_counter(&mut self, gateway: u32, name: u64, add: f32) {
+    fn increment_counter(&mut self, gateway: u32, key: u64, add: f32) {
         self.counts.counter_calls += 1;
-        let silent = self.scenario.counter_faults && (18_000.0..23_000.0).contains(&self.elapsed());
-        let lost = self.scenario.counter_faults && self.random_share() < 0.03;
-        let mut elapsed = self.scenario.counter_delay * (0.5 + self.random_share());
+        let unresponsive = self.scenario.counter_faults && (18_000.0..23_000.0).contains(&self.elapsed());
+        let reply_lost = self.scenario.counter_faults && self.uniform() < 0.03;
+        let mut elapsed = self.scenario.counter_delay * (0.5 + self.uniform());
         let mut outcome = OK;
         let all_rejected = self.scenario.long_faults && (30_000.0..35_000.0).contains(&self.elapsed());
-        if self.random_share() < self.scenario.counter_rejects || all_rejected {
+        if self.uniform() < self.scenario.counter_reject_share || all_rejected {
             (elapsed, outcome) = (1.0, REJECTED);
-        } else if silent {
-            (elapsed, outcome) = (30.0, if name % 2 == 0 { TIMED_OUT } else { CONNECT_FAILED });
-        } else if lost {
+        } else if unresponsive {
+            (elapsed, outcome) = (30.0, if key % 2 == 0 { TIMED_OUT } else { CONNECT_FAILED });
+        } else if reply_lost {
             (elapsed, outcome) = (10.0, RESET);
         }
         let mut total = 0f32;
         if outcome == OK || outcome == RESET {
-            let value = self.totals.entry(name).or_default();
+            let value = self.totals.entry(key).or_default();
             *value += add;
             total = *value;
         }
@@ -524,15 +534,15 @@
             &[
                 (6, &elapsed.to_le_bytes()),
                 (14, &[outcome]),
-                (15, &name.to_le_bytes()),
+                (15, &key.to_le_bytes()),
                 (23, &total.to_le_bytes()),
             ],
         );
-        self.schedule(elapsed, Scheduled::Event { gateway, record: replied });
+        self.schedule(elapsed, ScheduledEvent::GatewayEvent { gateway, record: replied });
     }
 }
 
-/// A whole number of the settings text.
+/// Reads an integer from the settings text.
 fn integer_setting(settings: &str, key: &str) -> u64 {
     let line = settings.lines().find_map(|line| line.trim().strip_prefix(key)?.strip_prefix('='));
     line.and_then(|value| value.parse().ok()).expect(key)
--- a/tests/support/simulation.rs
+++ b/tests/support/simulation.rs
@@ -1,6 +1,6 @@
-//! Parts of a discrete-event simulation: a seeded random generator, an event queue, a counter service with
-//! limited capacity, and the events that simulations feed to a gateway. Tests and the capacity program
-//! include it by path.
+//! Building blocks of discrete-event simulations: a seeded random number generator, an event queue, a counter
+//! service with limited capacity, and constructors of the events that a simulation sends to a gateway. Tests
+//! and the capacity program include this file by path.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,11 +10,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// A random generator that yields the same numbers for the same seed.
+/// A random number generator that produces the same numbers for the same seed.
 pub struct SeededRng(Pcg64Mcg);
 
 impl SeededRng {
-    /// A generator from a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
         SeededRng(Pcg64Mcg::seed_from_u64(seed))
     }
@@ -24,43 +24,43 @@
         self.0.next_u64()
     }
 
-    /// A number uniform in 0..1.
+    /// A uniform random number in `0..1`.
     pub fn uniform(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A number uniform in `min..max`.
+    /// A uniform random number in `min..max`.
     pub fn between(&mut self, min: f64, max: f64) -> f64 {
         min + (max - min) * self.uniform()
     }
 
-    /// An index below `len`.
+    /// A uniform random index below `len`.
     pub fn index(&mut self, len: usize) -> usize {
         (self.uniform() * len as f64) as usize
     }
 
-    /// Time to the next event of a Poisson process, ms.
+    /// Random time to the next event of a Poisson process with this rate, ms.
     pub fn interarrival(&mut self, events_per_second: f64) -> Millis {
         -1000.0 * (1.0 - self.uniform()).ln() / events_per_second
     }
 
-    /// An exponential variate with this mean.
+    /// A random number from the exponential distribution with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.uniform()).ln()
     }
 }
 
-/// Whole microseconds of a time; the resolution of [`EventQueue`].
+/// Converts a time to whole microseconds, the resolution of [`EventQueue`].
 pub fn micros(at: Millis) -> u64 {
     (at * 1000.0) as u64
 }
 
-/// Events by time; those of the same microsecond come in their own order.
+/// Events ordered by time. Events of the same microsecond are ordered by `Ord`.
 pub struct EventQueue<E>(BinaryHeap<Reverse<(u64, E)>>);
 
 impl<E: Ord> EventQueue<E> {
-    /// An empty queue.
-    #[allow(clippy::new_without_default)] // one way to make one is enough
+    /// Creates an empty queue.
+    #[allow(clippy::new_without_default)] // a `Default` would have no user
     pub fn new() -> Self {
         EventQueue(BinaryHeap::new())
     }
@@ -70,57 +70,58 @@
         self.0.push(Reverse((micros(at), event)));
     }
 
-    /// Time of the next event, µs.
+    /// Time of the next event in µs, or `None` if the queue is empty.
     pub fn next_micros(&self) -> Option<u64> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the next event, with its time in ms.
+    /// Removes the next event and returns it with its time in ms.
     pub fn pop(&mut self) -> Option<(Millis, E)> {
         self.0.pop().map(|Reverse((at, event))| (at as f64 / 1000.0, event))
     }
 }
 
-/// What a [`CounterStub`] does with a call that it accepts.
+/// The result of a call that a [`CounterStub`] accepts.
 pub struct AcceptedCall {
-    /// When work on it begins, ms.
+    /// Time at which the call leaves the queue and is executed, ms.
     pub starts_at: Millis,
-    /// The counter's total after it.
+    /// Total of the number after the call.
     pub total: f64,
 }
 
-/// A counter service whose partitions each execute one call at a time, and reject calls when the queue is too
-/// long.
+/// A counter service with several partitions. Each partition executes one call at a time and rejects a call
+/// if its queue is too long.
 pub struct CounterStub {
     totals: HashMap<CounterKey, f64>,
-    /// When each partition has finished the calls it has accepted, ms.
+    /// For each partition, the time at which it has executed all calls that it has accepted, ms.
     partition_free_at: Vec<Millis>,
-    /// Calls that all partitions together execute in a second; none: any number.
+    /// Calls per second that all partitions execute together; `None` means that there is no limit.
     calls_per_second: Option<f64>,
-    /// Longest wait in the queue, ms.
+    /// Longest time that a call may wait in the queue, ms.
     max_queue_delay: Millis,
 }
 
 impl CounterStub {
-    /// A counter with limited capacity. A call that would wait longer than `max_queue_delay` ms is rejected.
+    /// Creates a counter service with limited capacity. It rejects a call that would wait in the queue for
+    /// more than `max_queue_delay` ms.
     pub fn new(partitions: usize, calls_per_second: Option<f64>, max_queue_delay: Millis) -> Self {
         let partition_free_at = vec![0.0; partitions];
         CounterStub { totals: HashMap::new(), partition_free_at, calls_per_second, max_queue_delay }
     }
 
-    /// A counter that answers any number of calls without delay.
+    /// Creates a counter service that answers any number of calls without delay.
     pub fn unlimited() -> Self {
         CounterStub::new(1, None, Millis::INFINITY)
     }
 
-    /// Adds to a counter and returns its new total.
+    /// Adds to a number and returns its new total.
     pub fn add(&mut self, key: CounterKey, amount: f64) -> f64 {
         let total = self.totals.entry(key).or_default();
         *total += amount;
         *total
     }
 
-    /// Takes a call at `now`; none if it is rejected.
+    /// Executes a call that arrives at `now`. Returns `None` if the call is rejected.
     pub fn accept(&mut self, now: Millis, key: CounterKey, amount: f64) -> Option<AcceptedCall> {
         let partitions = self.partition_free_at.len();
         let free_at = &mut self.partition_free_at[(key.0 >> 7) as usize % partitions];
@@ -155,7 +156,7 @@
     Event::EndpointsChanged { update: EndpointUpdate::Incremental, entries }
 }
 
-/// The event of an attempt's end; it completes its request if it was served.
+/// The event of an attempt that has ended. The request is complete if the outcome is `Ok`.
 pub fn attempt_ended(
     id: RequestId,
     attempt: u8,
@@ -166,17 +167,17 @@
     Event::AttemptEnded { id, attempt, server, outcome, complete: outcome == Outcome::Ok, elapsed }
 }
 
-/// The event of a counter call that was answered with a total.
+/// The event of a counter call that the counter answered with a total.
 pub fn counter_answered(key: CounterKey, elapsed: Millis, total: f64) -> Event {
     Event::CounterReplied { key, outcome: Outcome::Ok, elapsed, total }
 }
 
-/// The event of a counter call that got no total.
+/// The event of a counter call that failed and returned no total.
 pub fn counter_failed(key: CounterKey, outcome: Outcome, elapsed: Millis) -> Event {
     Event::CounterReplied { key, outcome, elapsed, total: 0.0 }
 }
 
-/// The server of the first attempt among actions.
+/// The server of the first attempt that the actions start, or `None` if they start none.
 pub fn forwarded_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Forward { server, .. } => Some(*server),
