--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -5,9 +5,9 @@
 
 /// Initial limit, in attempts per server over all gateways. A gateway that uses a subset of the servers also
 /// never raises its limit above this.
-const INITIAL_PER_SERVER: f64 = 8.0;
+const INITIAL_ATTEMPTS_PER_SERVER: f64 = 8.0;
 /// Lower bound of the limit, in attempts per server over all gateways.
-const MIN_PER_SERVER: f64 = 2.0;
+const MIN_ATTEMPTS_PER_SERVER: f64 = 2.0;
 /// Lower bound of the limit of a gateway that uses all servers, in attempts.
 const MIN_LIMIT: f64 = 2.0;
 /// Mean response time, as a share of the latency objective, above which the limit decreases.
@@ -50,7 +50,7 @@
     /// by the number of gateways in the fleet.
     pub(super) fn initialize(&mut self, servers_per_gateway: f64) {
         if self.limit.is_none() && servers_per_gateway > 0.0 {
-            self.limit = Some(INITIAL_PER_SERVER * servers_per_gateway);
+            self.limit = Some(INITIAL_ATTEMPTS_PER_SERVER * servers_per_gateway);
         }
     }
 
@@ -106,7 +106,7 @@
     fn increase(&self, limit: f64, limit_step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
         let busy_threshold = INCREASE_UTILIZATION * limit;
         if subset_active && self.in_flight + 1.0 > busy_threshold {
-            (limit * (1.0 + limit_step)).min(INITIAL_PER_SERVER * servers_per_gateway)
+            (limit * (1.0 + limit_step)).min(INITIAL_ATTEMPTS_PER_SERVER * servers_per_gateway)
         } else if self.in_flight > busy_threshold {
             limit + 1.0 / limit.max(1.0)
         } else {
@@ -115,10 +115,10 @@
     }
 }
 
-/// Decreases the limit, but not below the minimum. With so few attempts in flight, this gateway's own load
-/// cannot be why the servers are slow, and a lower limit would only reduce the throughput more and more.
+/// Decreases the limit, but not below the minimum. With so few attempts in flight, the servers cannot be slow
+/// because of this gateway's load, and decreasing the limit without end would only reduce the throughput.
 fn decrease(limit: f64, limit_step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
-    let minimum = MIN_PER_SERVER * servers_per_gateway;
+    let minimum = MIN_ATTEMPTS_PER_SERVER * servers_per_gateway;
     let minimum = if subset_active { minimum } else { minimum.max(MIN_LIMIT) };
     (limit * (1.0 - limit_step)).max(minimum)
 }
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway, and the dispatch of each event to the code that handles it.
+//! The state of a gateway, and the routing of each event to the code that handles it.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::counter_health::CounterHealth;
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,4 +1,5 @@
-//! Hedged requests: a second attempt for a request whose first attempt is so late that it is probably lost.
+//! Hedged requests: a second attempt for a request whose current attempt is so late that it is probably
+//! lost.
 
 use super::gateway::Gateway;
 use super::request::TrackedRequest;
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -66,7 +66,7 @@
         let service_time = self.class_latency(tracked.request.class).max(1.0);
         let value = tracked.class.priority_weight * multiplier * tracked.request.units / service_time;
         let waited = now - tracked.arrived_at;
-        let allowed = tracked.objective_at - tracked.arrived_at;
-        Some(value * (INITIAL_VALUE_FACTOR - waited / allowed))
+        let allowed_wait = tracked.objective_at - tracked.arrived_at;
+        Some(value * (INITIAL_VALUE_FACTOR - waited / allowed_wait))
     }
 }
--- a/tests/support/action_world.rs
+++ b/tests/support/action_world.rs
@@ -139,13 +139,18 @@
     host: Host,
     rng: Pcg64Mcg,
     now: f64,
+    /// Scheduled events by their sequence numbers.
     scheduled: BTreeMap<u64, ScheduledEvent>,
+    /// Times of the scheduled events in µs, with their sequence numbers.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     sequence: u64,
     servers: Vec<Server>,
+    /// Requests by gateway and request number.
     requests: BTreeMap<(u32, u32), RequestState>,
+    /// Totals of the counter service by counter key.
     totals: BTreeMap<u64, f32>,
     counts: Counts,
+    /// FNV-1a hash of all reply frames so far.
     digest: u64,
 }
 
@@ -449,10 +454,7 @@
 
     fn complete_request(&mut self, gateway: u32, request: u32) {
         if let Some(request_state) = self.requests.get_mut(&(gateway, request)) {
-            assert!(
-                !request_state.answered,
-                "request {request} of gateway {gateway} got a second final answer"
-            );
+            assert!(!request_state.answered, "request {request} got a second final answer");
             request_state.answered = true;
         }
     }
@@ -461,10 +463,7 @@
         self.counts.forwarded += 1;
         let sent = self.now;
         let request_state = self.requests.get_mut(&(gateway, request)).unwrap();
-        assert!(
-            !request_state.answered,
-            "request {request} of gateway {gateway} was forwarded after its final answer"
-        );
+        assert!(!request_state.answered, "request {request} was forwarded after its final answer");
         let attempt = request_state.attempts.len() as u8;
         request_state.attempts.push(Attempt { server, sent, in_flight: true });
         let (mut elapsed, mut outcome) = self.serve_attempt(server as usize - 1);
