--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -76,7 +76,7 @@
     }
 
     /// Closes connections that are idle for too long or make no progress, for the life of the process.
-    pub async fn reap_idle(self: Rc<Self>) {
+    pub async fn run_idle_reaper(self: Rc<Self>) {
         idle_reaper::reap_periodically(&self.connections, || self.event_loop.now()).await;
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// From now on requests are rejected at once: there is no time left to serve them.
-    pub fn reject_all(&self) {
+    pub fn reject_new_requests(&self) {
         self.handler.start_rejecting();
     }
 
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -152,6 +152,6 @@
     let acceptor = clients.clone();
     keep_running("accept", move || acceptor.clone().accept(listener.clone()));
     let reaper = clients.clone();
-    keep_running("idle reaper", move || reaper.clone().reap_idle());
+    keep_running("idle reaper", move || reaper.clone().run_idle_reaper());
     Ok(address)
 }
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -58,7 +58,7 @@
         tokio::time::sleep(POLL_INTERVAL).await;
         idle_polls = if clients.connection_count() == 0 { idle_polls + 1 } else { 0 };
     }
-    clients.reject_all();
+    clients.reject_new_requests();
     event_loop.time_out_all_requests();
     let flush_until = Instant::now() + FLUSH_TIMEOUT;
     while clients.connection_count() > 0 && Instant::now() < flush_until {
