--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,4 +1,4 @@
-//! State of one client connection: its phase, what has arrived on it and whether it may be closed.
+//! State of one client connection: its phase, the bytes received on it and whether it may be closed.
 
 use super::head_counter::RequestHeadCounter;
 use crate::ids::Millis;
@@ -11,41 +11,43 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Longest time to receive a request whole, ms; also for the first bytes of a new connection. The protocol
-/// lets go of a client that makes no progress within 3 s; the idle reaper, which enforces this, runs at
-/// intervals.
+/// Longest time to receive a complete request, ms. On a new connection this includes the wait for its first
+/// bytes. The protocol requires that a client without progress is disconnected within 3 s; the timeout is
+/// shorter because the idle reaper, which enforces it, runs only at intervals.
 pub const READ_TIMEOUT: Millis = 2000.0;
-/// Longest time to write a response, ms, to a client that does not take it.
+/// Longest time to write a response, ms, to a client that does not read it.
 const WRITE_TIMEOUT: Millis = READ_TIMEOUT;
-/// How long a connection is kept open between two requests, ms: some clients ask once and never close.
+/// Longest time that a connection is kept open between two requests, ms. Some clients send a single request
+/// and never close.
 const IDLE_TIMEOUT: Millis = 10_000.0;
-/// During a graceful shutdown a new connection is given this long for its first request, ms; see the
-/// shutdown's `MIN_ACCEPT_PERIOD`.
+/// Time that a new connection has for its first request during a graceful shutdown, ms; see also
+/// `MIN_ACCEPT_PERIOD` of the shutdown module.
 const NEW_CONNECTION_GRACE: Millis = 450.0;
-/// How long a closing connection waits for the client to receive the last response and close, ms.
+/// Longest time that a closing connection waits for its client to receive the last response and close, ms.
 ///
-/// A close over unread bytes is sent as a reset, and a reset discards what of the response is still on its
-/// way. The timeout is long enough for a lost segment to be sent again.
+/// If the gateway closes a socket that holds unread bytes, the kernel sends a reset, and the reset discards
+/// the part of the response that has not arrived yet. The timeout leaves time for a lost segment to be
+/// retransmitted.
 const LINGER_TIMEOUT: Millis = 500.0;
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// Waits for the first request, or is receiving one.
+    /// The connection waits for its first request or is receiving a request.
     Reading,
     /// A request has been received and has no response yet.
     Processing,
-    /// Its response is being written.
+    /// The response is being written.
     Writing,
-    /// Between two requests.
+    /// The connection is between two requests.
     Idle,
-    /// Nothing more is read or written.
+    /// Nothing more is read from or written to the connection.
     Closing,
 }
 
-/// Tells whether the kernel holds received bytes that have not been read.
+/// Checks whether the kernel holds received bytes that have not been read.
 pub trait UnreadBytes {
-    /// Whether there are such bytes. Costs a system call.
+    /// Whether there are unread bytes. Each call makes a system call.
     fn has_unread_bytes(&self) -> bool;
 }
 
@@ -56,38 +58,39 @@
     }
 }
 
-/// State of one client connection, shared by its task and by those that may close it.
+/// State of one client connection. The connection's task shares it with the modules that may close the
+/// connection: the listener, the idle reaper and the eviction.
 pub struct Connection {
     stream: Rc<TcpStream>,
-    unread: Rc<dyn UnreadBytes>,
+    unread_bytes: Rc<dyn UnreadBytes>,
     phase: Cell<Phase>,
     phase_since: Cell<Millis>,
-    /// Any byte has ever arrived.
-    bytes_received: Cell<bool>,
-    /// Bytes arrived before the response to the current request was out: the next request has begun.
-    next_request_begun: Cell<bool>,
+    /// Whether any byte has been received on the connection.
+    any_bytes_received: Cell<bool>,
+    /// Whether bytes of the next request were received before the current response was sent.
+    next_request_started: Cell<bool>,
     request_heads: Cell<RequestHeadCounter>,
     close_signal: Notify,
     aborted: Cell<bool>,
 }
 
 impl Connection {
-    /// The state of a connection accepted at `now`; `unread` tells of unread bytes on `stream`.
-    pub fn new(stream: Rc<TcpStream>, unread: Rc<dyn UnreadBytes>, now: Millis) -> Self {
+    /// Creates the state of a connection accepted at `now`; `unread_bytes` checks `stream` for unread bytes.
+    pub fn new(stream: Rc<TcpStream>, unread_bytes: Rc<dyn UnreadBytes>, now: Millis) -> Self {
         Connection {
             stream,
-            unread,
+            unread_bytes,
             phase: Cell::new(Phase::Reading),
             phase_since: Cell::new(now),
-            bytes_received: Cell::new(false),
-            next_request_begun: Cell::new(false),
+            any_bytes_received: Cell::new(false),
+            next_request_started: Cell::new(false),
             request_heads: Cell::default(),
             close_signal: Notify::new(),
             aborted: Cell::new(false),
         }
     }
 
-    /// The socket.
+    /// The connection's socket.
     pub fn stream(&self) -> &Rc<TcpStream> {
         &self.stream
     }
@@ -97,46 +100,46 @@
         self.phase.get()
     }
 
-    /// When the current phase began; Unix ms.
+    /// When the current phase started; Unix ms.
     pub fn phase_since(&self) -> Millis {
         self.phase_since.get()
     }
 
-    /// Begins a phase.
-    pub fn enter(&self, phase: Phase, now: Millis) {
+    /// Switches to a phase, which starts at `now`.
+    pub fn set_phase(&self, phase: Phase, now: Millis) {
         self.phase.set(phase);
         self.phase_since.set(now);
     }
 
-    /// Records bytes that were read.
-    pub fn record_received(&self, bytes: &[u8], now: Millis) {
-        self.bytes_received.set(true);
+    /// Records bytes that were read from the socket.
+    pub fn record_received_bytes(&self, bytes: &[u8], now: Millis) {
+        self.any_bytes_received.set(true);
         let was_idle = self.phase() == Phase::Idle;
         let heads = if was_idle { RequestHeadCounter::default() } else { self.request_heads.get() };
-        self.request_heads.set(heads.after(bytes));
+        self.request_heads.set(heads.after_bytes(bytes));
         match self.phase() {
-            Phase::Idle => self.enter(Phase::Reading, now),
-            Phase::Processing | Phase::Writing => self.next_request_begun.set(true),
+            Phase::Idle => self.set_phase(Phase::Reading, now),
+            Phase::Processing | Phase::Writing => self.next_request_started.set(true),
             Phase::Reading | Phase::Closing => {}
         }
     }
 
-    /// Records that the handler has received a whole request.
-    pub fn record_request(&self, now: Millis) {
-        self.enter(Phase::Processing, now);
+    /// Records that the handler has received a complete request.
+    pub fn record_received_request(&self, now: Millis) {
+        self.set_phase(Phase::Processing, now);
         self.request_heads.set(self.request_heads.get().after_request());
     }
 
     /// Records that everything written so far has been sent.
     pub fn record_flushed(&self, now: Millis) {
         if self.phase() == Phase::Writing {
-            let next = if self.next_request_begun.take() { Phase::Reading } else { Phase::Idle };
-            self.enter(next, now);
+            let next = if self.next_request_started.take() { Phase::Reading } else { Phase::Idle };
+            self.set_phase(next, now);
         }
     }
 
-    /// Whether the current phase has lasted longer than it may.
-    pub fn is_overdue(&self, now: Millis) -> bool {
+    /// Whether the current phase has lasted longer than its timeout.
+    pub fn has_timed_out(&self, now: Millis) -> bool {
         self.phase_timeout().is_some_and(|timeout| now - self.phase_since() > timeout)
     }
 
@@ -145,50 +148,55 @@
             Phase::Reading => Some(READ_TIMEOUT),
             Phase::Writing => Some(WRITE_TIMEOUT),
             Phase::Idle => Some(IDLE_TIMEOUT),
-            // The event loop answers a request by its deadline; a close has a timeout of its own.
+            // The event loop answers each request by its deadline, and the linger time bounds a close.
             Phase::Processing | Phase::Closing => None,
         }
     }
 
-    /// Whether bytes wait in the socket. On a busy machine the runtime may not have read what has long
+    /// Whether the socket holds unread bytes. On a busy machine the runtime may read them long after they
     /// arrived.
     pub fn has_unread_bytes(&self) -> bool {
-        self.unread.has_unread_bytes()
+        self.unread_bytes.has_unread_bytes()
     }
 
-    /// Whether it can be closed without losing anything: it owes no response and no request has begun.
+    /// Whether the connection can be closed without losing a request: no response is outstanding and no part
+    /// of a request has arrived.
     pub fn may_close(&self) -> bool {
-        let is_unused = self.phase() == Phase::Reading && !self.bytes_received.get();
+        let is_unused = self.phase() == Phase::Reading && !self.any_bytes_received.get();
         (self.phase() == Phase::Idle || is_unused) && !self.has_unread_bytes()
     }
 
-    /// Whether it can be closed during a graceful shutdown: as [`Self::may_close`], and it is not new.
+    /// Whether the connection can be closed during a graceful shutdown: [`Self::may_close`] holds and the
+    /// connection is not new.
     pub fn may_close_in_shutdown(&self, now: Millis) -> bool {
         let is_new = self.phase() == Phase::Reading && now - self.phase_since() <= NEW_CONNECTION_GRACE;
         !is_new && self.may_close()
     }
 
-    /// Whether nothing has arrived behind the request that is being processed.
+    /// Whether nothing has arrived after the request that is being processed.
     pub fn is_last_request(&self) -> bool {
-        !self.next_request_begun.get() && !self.request_heads.get().has_pending() && !self.has_unread_bytes()
+        !self.next_request_started.get()
+            && !self.request_heads.get().has_pending()
+            && !self.has_unread_bytes()
     }
 
-    /// How long a close that begins now has to wait for the last response to reach the client.
+    /// How long a close that starts now waits for the client to receive the last response.
     pub fn linger_time(&self, now: Millis) -> Duration {
         let left = match self.phase() {
             Phase::Idle => self.phase_since() + LINGER_TIMEOUT - now,
-            _ if self.bytes_received.get() => LINGER_TIMEOUT,
+            _ if self.any_bytes_received.get() => LINGER_TIMEOUT,
             _ => 0.0,
         };
         Duration::from_secs_f64(left.max(0.0) / 1000.0)
     }
 
-    /// Asks the connection's task to close, unless a request has begun by then.
-    pub fn request_close(&self) {
+    /// Asks the connection's task to close the connection, unless a request starts to arrive before the task
+    /// does so.
+    pub fn signal_close(&self) {
         self.close_signal.notify_one();
     }
 
-    /// Makes the connection's task drop the connection, whatever has arrived on it.
+    /// Makes the connection's task drop the connection, regardless of what has arrived on it.
     pub fn abort(&self) {
         self.aborted.set(true);
         self.close_signal.notify_one();
@@ -199,8 +207,8 @@
         self.aborted.get()
     }
 
-    /// Waits for [`Self::request_close`] or [`Self::abort`].
-    pub fn close_requested(&self) -> impl Future<Output = ()> + '_ {
+    /// Waits for a call of [`Self::signal_close`] or [`Self::abort`].
+    pub fn close_signalled(&self) -> impl Future<Output = ()> + '_ {
         self.close_signal.notified()
     }
 }
--- a/src/net/client/connection_table.rs
+++ b/src/net/client/connection_table.rs
@@ -16,7 +16,7 @@
 }
 
 impl ConnectionTable {
-    /// Adds a connection; it stays in the table until the returned guard is dropped.
+    /// Adds a connection, which stays in the table until the returned guard is dropped.
     pub fn register(self: &Rc<Self>, connection: Connection) -> RegisteredConnection {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
@@ -25,12 +25,13 @@
         RegisteredConnection { table: self.clone(), number, connection }
     }
 
-    /// The connections by number. Nothing may be registered or removed while the result is held.
+    /// Returns the connections by number. No connection may be registered or removed while the returned
+    /// borrow is held.
     pub fn entries(&self) -> Ref<'_, HashMap<u64, Rc<Connection>>> {
         self.connections.borrow()
     }
 
-    /// Number of connections.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
@@ -41,7 +42,7 @@
     }
 }
 
-/// Removes its connection from the table when dropped, however the connection ends.
+/// Guard that removes its connection from the table when dropped, no matter how the connection ends.
 pub struct RegisteredConnection {
     table: Rc<ConnectionTable>,
     number: u64,
@@ -49,7 +50,7 @@
 }
 
 impl RegisteredConnection {
-    /// The connection.
+    /// The registered connection.
     pub fn connection(&self) -> &Rc<Connection> {
         &self.connection
     }
--- a/src/net/client/connection_task.rs
+++ b/src/net/client/connection_task.rs
@@ -1,4 +1,4 @@
-//! Serves one client connection from its first byte to its close.
+//! The task that serves one client connection until it is closed.
 
 use super::connection::Phase;
 use super::connection_table::RegisteredConnection;
@@ -13,26 +13,27 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// Read buffer of a connection, bytes; a longer request head is rejected.
+/// Size of a connection's read buffer, bytes. A request whose head is longer is rejected.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Serves a connection until it ends, is closed or aborted, or its client disconnects.
+/// Serves a connection until it is closed or aborted, or its client disconnects.
 ///
-/// When this returns, the connection is dropped and with it the request it was processing, whose attempts are
-/// then cancelled.
+/// When this function returns, it drops the connection and the request that the connection was processing.
+/// The attempts of that request are then cancelled.
 pub async fn serve_connection(
     registered: RegisteredConnection,
     handler: Rc<RequestHandler>,
     event_loop: Rc<EventLoop>,
 ) {
     let connection = registered.connection().clone();
-    // A response is one small write, and must not wait for an acknowledgement.
+    // A response is one small write; Nagle's algorithm would delay it until the client acknowledges earlier
+    // data.
     let _ = connection.stream().set_nodelay(true);
     let service = service_fn(|request| {
         let (handler, event_loop, connection) = (handler.clone(), event_loop.clone(), connection.clone());
         async move {
             let response = handler.handle(request, &connection).await;
-            connection.enter(Phase::Writing, event_loop.now());
+            connection.set_phase(Phase::Writing, event_loop.now());
             Ok::<_, Infallible>(response)
         }
     });
@@ -46,11 +47,11 @@
             biased;
             _ = http_connection.as_mut() => return,
             () = disconnected.as_mut() => return,
-            () = connection.close_requested() => {
+            () = connection.close_signalled() => {
                 if connection.is_aborted() {
                     return;
                 }
-                // A request may have arrived since the close was requested.
+                // A request may have arrived since the close was signalled.
                 if connection.may_close() {
                     http_connection.as_mut().graceful_shutdown();
                 }
--- a/src/net/client/disconnect.rs
+++ b/src/net/client/disconnect.rs
@@ -1,4 +1,4 @@
-//! Detects clients that disconnect before they have their response.
+//! Detects clients that disconnect before they have received their response.
 
 use super::connection::{Connection, Phase};
 use crate::ids::RequestId;
@@ -11,24 +11,26 @@
 /// Waits until the client has disconnected (closed, closed its sending side or reset) while one of its
 /// requests is being processed.
 ///
-/// The HTTP parser notices this only where nothing is unread behind the request; the kernel reports it
-/// whatever is unread. To be polled beside the connection and after it, as only that poll begins or ends a
-/// request: nothing else wakes this. Cancel safe.
+/// The HTTP parser notices a disconnect only if no unread bytes follow the request; the kernel reports it in
+/// any case. The caller must poll this future in the same task as the HTTP connection and after it: a request
+/// starts or stops being processed only while the HTTP connection is polled, and nothing else wakes this
+/// future when that happens. The future is cancel safe.
 pub async fn disconnected_while_processing(connection: &Connection) {
-    // Without urgent data this interest becomes ready by the peer's close only.
+    // As long as the client sends no urgent data, this interest becomes ready only when the client
+    // disconnects.
     if connection.stream().ready(Interest::PRIORITY).await.is_err() {
-        // The runtime is shutting down, and the connection with it.
+        // The runtime is shutting down and drops this connection.
         std::future::pending().await
     }
     let is_processing = || connection.phase() == Phase::Processing;
     poll_fn(|_| if is_processing() { Poll::Ready(()) } else { Poll::Pending }).await
 }
 
-/// Reports a disconnected client to the event loop, unless its request was answered before the guard is
-/// dropped.
+/// Guard that reports a disconnected client to the event loop when dropped, unless the request was answered
+/// before.
 ///
-/// The connection's task is dropped when the client disconnects, and this guard with it. Without the report
-/// the request would be forwarded or retried for nobody.
+/// When the client disconnects, the connection's task ends and drops this guard. Without the report, the
+/// event loop would still forward or retry a request whose client no longer waits.
 pub struct DisconnectGuard<'a> {
     event_loop: &'a Rc<EventLoop>,
     id: RequestId,
@@ -36,12 +38,12 @@
 }
 
 impl<'a> DisconnectGuard<'a> {
-    /// Guards a request that has just been handed to the event loop.
+    /// Creates the guard of a request that has just been submitted to the event loop.
     pub fn new(event_loop: &'a Rc<EventLoop>, id: RequestId) -> Self {
         DisconnectGuard { event_loop, id, answered: false }
     }
 
-    /// The request has its answer: there is nothing left to report.
+    /// Drops the guard without a report, because the request has been answered.
     pub fn disarm(mut self) {
         self.answered = true;
     }
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -1,4 +1,4 @@
-//! Chooses the connection that is closed when a new one needs its place.
+//! Chooses the connection to close when the connection limit is reached and a new client wants to connect.
 
 use super::connection::{Connection, Phase};
 use super::connection_table::ConnectionTable;
@@ -6,24 +6,26 @@
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-/// A new connection is given this long for its first bytes before it counts as stalled, ms.
-pub const FIRST_BYTE_TIMEOUT: Millis = 100.0;
-/// A closing connection is given this long for its client to receive the last response before it is dropped,
-/// ms.
-const CLOSING_GRACE: Millis = FIRST_BYTE_TIMEOUT;
+/// A connection that has waited for a complete request for longer than this, ms, counts as stalled. On a new
+/// connection this includes the wait for its first bytes.
+pub const STALL_TIMEOUT: Millis = 100.0;
+/// A closing connection is not evicted for this time, ms, so that its client can receive the last response.
+const CLOSING_GRACE: Millis = STALL_TIMEOUT;
 
-/// How readily a connection is evicted: the lower, the sooner.
+/// Eviction class of a connection; connections of a lower rank are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// Sent nothing or only a part of a request for a while, or is closing.
+    /// The client has sent no complete request within [`STALL_TIMEOUT`], or the connection has been closing
+    /// for longer than [`CLOSING_GRACE`].
     Stalled,
-    /// Between two requests.
+    /// The connection is between two requests.
     Idle,
-    /// Has just been accepted or has just begun a request.
+    /// The connection has just been accepted or has just started to receive a request.
     Recent,
 }
 
-/// Order of eviction: by rank, and the one that has been in its phase for the longest time first.
+/// Order of eviction: by rank; within a rank, the connection that has been in its phase for longest comes
+/// first.
 #[derive(Clone, Copy, Debug)]
 struct EvictionPriority {
     rank: EvictionRank,
@@ -31,7 +33,8 @@
 }
 
 impl EvictionPriority {
-    /// The priority of a connection; none if it must not be evicted, as it owes a response.
+    /// Returns the priority of a connection, or `None` if it must not be evicted because its client may
+    /// not have received its response yet.
     fn of(connection: &Connection, now: Millis) -> Option<Self> {
         let phase_since = connection.phase_since();
         let time_in_phase = now - phase_since;
@@ -39,7 +42,7 @@
             Phase::Processing | Phase::Writing => return None,
             Phase::Closing if time_in_phase <= CLOSING_GRACE => return None,
             Phase::Closing => EvictionRank::Stalled,
-            Phase::Reading if time_in_phase > FIRST_BYTE_TIMEOUT => EvictionRank::Stalled,
+            Phase::Reading if time_in_phase > STALL_TIMEOUT => EvictionRank::Stalled,
             Phase::Idle => EvictionRank::Idle,
             Phase::Reading => EvictionRank::Recent,
         };
@@ -56,8 +59,9 @@
     connection: &'a Rc<Connection>,
 }
 
-/// Closes one connection to make room; false if none can be closed, and a new one has to wait.
-pub fn make_room(connections: &ConnectionTable, now: Millis) -> bool {
+/// Closes one connection so that a new one can be accepted. Returns false if none can be closed; the new
+/// connection then has to wait.
+pub fn evict_one(connections: &ConnectionTable, now: Millis) -> bool {
     let entries = connections.entries();
     let candidates = entries.values().filter(|connection| !connection.is_aborted());
     let mut candidates: Vec<Candidate<'_>> = candidates
@@ -66,19 +70,23 @@
         })
         .collect();
     candidates.sort_unstable_by(|a, b| a.priority.compare(&b.priority));
-    // In order, so that the kernel is asked about few: in a flood this is done for each new connection.
-    let Some(evicted) = candidates.into_iter().find(|candidate| loses_nothing(candidate.connection)) else {
+    // The search stops at the first match, because each check for unread bytes is a system call and a flood
+    // of new connections runs this code for each of them.
+    let Some(evicted) = candidates.into_iter().find(|candidate| can_evict_without_loss(candidate.connection))
+    else {
         return false;
     };
     match evicted.priority.rank {
-        // Its task looks again before it closes, so that a request which has just arrived is not lost.
-        EvictionRank::Idle => evicted.connection.request_close(),
+        // The connection's task checks again before it closes, so that a request that has just arrived is not
+        // lost.
+        EvictionRank::Idle => evicted.connection.signal_close(),
         EvictionRank::Stalled | EvictionRank::Recent => evicted.connection.abort(),
     }
     true
 }
 
-/// A closing connection reads nothing more; any other may have a request that the runtime has not read yet.
-fn loses_nothing(connection: &Connection) -> bool {
+/// Whether no request would be lost. A closing connection reads no more requests; on any other connection,
+/// unread bytes may be a request that the runtime has not read yet.
+fn can_evict_without_loss(connection: &Connection) -> bool {
     connection.phase() == Phase::Closing || !connection.has_unread_bytes()
 }
--- a/src/net/client/head_counter.rs
+++ b/src/net/client/head_counter.rs
@@ -2,19 +2,19 @@
 
 /// Counts the ends of request heads (`CR LF CR LF`) among the bytes of a connection.
 ///
-/// A body may contain what looks like the end of a head. It is then counted as a request that is still
-/// pending, until the connection is idle again; the connection is merely kept open a little longer for it.
+/// If a body contains these four bytes, they are counted as a pending request until the connection is idle
+/// again. The only effect is that the connection stays open a little longer.
 #[derive(Clone, Copy, Default)]
 pub struct RequestHeadCounter {
     /// Complete heads of requests that the handler has not received yet.
     pending: u32,
-    /// How many bytes of the four that end a head have arrived.
+    /// How many of the four bytes that end a head have been received in a row.
     matched_bytes: u8,
 }
 
 impl RequestHeadCounter {
-    /// The counter after these bytes.
-    pub fn after(mut self, bytes: &[u8]) -> Self {
+    /// Returns the counter after `bytes` have been received.
+    pub fn after_bytes(mut self, bytes: &[u8]) -> Self {
         for byte in bytes {
             self.matched_bytes = match (self.matched_bytes, byte) {
                 (2, b'\r') => 3,
@@ -30,12 +30,12 @@
         self
     }
 
-    /// The counter after the handler has received one request.
+    /// Returns the counter after the handler has received one request.
     pub fn after_request(self) -> Self {
         RequestHeadCounter { pending: self.pending.saturating_sub(1), ..self }
     }
 
-    /// Whether a complete head waits behind the request that was received last.
+    /// Whether a complete head has arrived after the request that the handler received last.
     pub fn has_pending(self) -> bool {
         self.pending > 0
     }
--- a/src/net/client/idle_reaper.rs
+++ b/src/net/client/idle_reaper.rs
@@ -8,20 +8,21 @@
 /// How often connections are checked for their timeouts.
 const REAP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Closes overdue connections at each interval, for the life of the process; `now` tells the time, Unix ms.
+/// Closes timed-out connections at each interval, for the lifetime of the process; `now` returns the Unix
+/// time in ms.
 pub async fn reap_periodically(connections: &ConnectionTable, now: impl Fn() -> Millis) {
     loop {
         tokio::time::sleep(REAP_INTERVAL).await;
-        close_overdue(connections, now());
+        close_timed_out(connections, now());
     }
 }
 
-fn close_overdue(connections: &ConnectionTable, now: Millis) {
-    for connection in connections.entries().values().filter(|connection| connection.is_overdue(now)) {
+fn close_timed_out(connections: &ConnectionTable, now: Millis) {
+    for connection in connections.entries().values().filter(|connection| connection.has_timed_out(now)) {
         match connection.phase() {
-            // A request has arrived in time and the runtime has not read it yet.
+            // A request has arrived in time, but the runtime has not read it yet.
             Phase::Idle if connection.has_unread_bytes() => {}
-            Phase::Idle => connection.request_close(),
+            Phase::Idle => connection.signal_close(),
             _ => connection.abort(),
         }
     }
--- a/src/net/client/in_flight_ids.rs
+++ b/src/net/client/in_flight_ids.rs
@@ -6,12 +6,13 @@
 
 /// Correlation ids of the requests in flight.
 ///
-/// An id that arrives again meanwhile is another client's: a server's response could reach the wrong one.
+/// A second request with an id in flight is an error: it comes from another client, and a server's response
+/// could reach the wrong one of the two.
 #[derive(Default)]
 pub struct InFlightIds(RefCell<HashSet<Box<str>>>);
 
 impl InFlightIds {
-    /// Reserves an id until the guard is dropped; an error if a request with this id is in flight.
+    /// Reserves an id until the returned guard is dropped. Fails if a request with this id is in flight.
     pub fn reserve(&self, id: Box<str>) -> Result<InFlightIdGuard<'_>, RequestError> {
         if self.0.borrow_mut().insert(id.clone()) {
             Ok(InFlightIdGuard { ids: self, id })
@@ -21,7 +22,7 @@
     }
 }
 
-/// Releases its correlation id when dropped, however the request ends.
+/// Guard that releases its correlation id when dropped, no matter how the request ends.
 pub struct InFlightIdGuard<'a> {
     ids: &'a InFlightIds,
     id: Box<str>,
--- a/src/net/client/instrumented_stream.rs
+++ b/src/net/client/instrumented_stream.rs
@@ -1,4 +1,4 @@
-//! A client's stream that records in the connection's state what passes through it.
+//! A stream to a client that records received bytes and completed writes in the connection's state.
 
 use super::connection::{Connection, Phase};
 use crate::net::event_loop::EventLoop;
@@ -12,20 +12,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A client's stream that records received bytes and completed writes in its [`Connection`].
+/// A stream to a client that records received bytes and completed writes in its [`Connection`].
 ///
-/// The socket is shared, so that its end can be awaited beside the HTTP parser, which reads no further than
-/// it has use for.
+/// The socket is shared, so that the connection's task can wait for the client's disconnect independently of
+/// the HTTP parser, which reads only as far as it needs to.
 pub struct InstrumentedStream {
     stream: Rc<TcpStream>,
     connection: Rc<Connection>,
     event_loop: Rc<EventLoop>,
-    /// Completes when the socket may be closed; present once sending has been shut down.
+    /// Completes when the socket may be closed; `Some` once sending has been shut down.
     lingering: Option<Pin<Box<dyn Future<Output = ()>>>>,
 }
 
 impl InstrumentedStream {
-    /// The stream of a connection; the event loop tells the time.
+    /// Creates the stream of a connection. The event loop supplies the current time.
     pub fn new(connection: Rc<Connection>, event_loop: Rc<EventLoop>) -> Self {
         InstrumentedStream { stream: connection.stream().clone(), connection, event_loop, lingering: None }
     }
@@ -39,18 +39,20 @@
             ready!(self.stream.poll_write_ready(cx))?;
             match write(&self.stream) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
 
-    /// Waits until the client has closed as well, or for the linger time.
+    /// Starts the closing phase and returns a future that waits until the client has closed the connection as
+    /// well, at most for the linger time.
     fn linger(&self) -> Pin<Box<dyn Future<Output = ()>>> {
         let now = self.event_loop.now();
         let stream = self.stream.clone();
         let linger_time = self.connection.linger_time(now);
-        self.connection.enter(Phase::Closing, now);
-        // Without urgent data this interest becomes ready by the peer's close only.
+        self.connection.set_phase(Phase::Closing, now);
+        // As long as the client sends no urgent data, this interest becomes ready only when the client
+        // disconnects.
         let closed_by_peer = async move { stream.ready(Interest::PRIORITY).await.map(drop) };
         Box::pin(async move { _ = tokio::time::timeout(linger_time, closed_by_peer).await })
     }
@@ -63,12 +65,12 @@
             let filled_before = buf.filled().len();
             match self.stream.try_read_buf(buf) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                done => {
-                    if matches!(done, Ok(n) if n > 0) {
+                result => {
+                    if matches!(result, Ok(n) if n > 0) {
                         self.connection
-                            .record_received(&buf.filled()[filled_before..], self.event_loop.now());
+                            .record_received_bytes(&buf.filled()[filled_before..], self.event_loop.now());
                     }
-                    return Poll::Ready(done.map(drop));
+                    return Poll::Ready(result.map(drop));
                 }
             }
         }
@@ -92,19 +94,21 @@
         true
     }
 
-    /// A socket has no buffer to flush: what was written has been sent.
+    /// The stream has no write buffer of its own, so all written bytes have already been passed to the
+    /// socket.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.connection.record_flushed(self.event_loop.now());
         Poll::Ready(Ok(()))
     }
 
-    /// Shuts down sending, and completes when the socket may be closed. What arrives meanwhile is not read,
-    /// so that the client knows that it was not processed and may send it again elsewhere.
+    /// Shuts down sending, and completes when the socket may be closed. Requests that arrive in the meantime
+    /// are not read, so that the client knows that they were not processed and may send them to another
+    /// gateway.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let lingering = match self.lingering.take() {
             Some(lingering) => lingering,
             None => {
-                // It fails where the client has reset the connection meanwhile.
+                // The shutdown fails if the client has reset the connection in the meantime.
                 if SockRef::from(&*self.stream).shutdown(Shutdown::Write).is_err() {
                     return Poll::Ready(Ok(()));
                 }
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections and keeps their number within bounds.
+//! Accepts client connections and limits their number.
 
 use super::connection::{Connection, UnreadBytes};
 use super::connection_table::ConnectionTable;
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept: without free descriptors the next one would fail at once, and the loop would
-/// spin.
+/// Pause after a failed accept. If the process has no free file descriptors, the next accept would fail
+/// immediately and the loop would spin.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// How long a connection that was asked to close is waited for before another is asked.
+/// Longest wait for an evicted connection to close before another one is evicted.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts client connections, serves each in a task of its own and closes them at a shutdown.
+/// Accepts client connections, serves each in its own task and closes them during a shutdown.
 pub struct ClientListener {
     event_loop: Rc<EventLoop>,
     handler: Rc<RequestHandler>,
@@ -25,7 +25,7 @@
 }
 
 impl ClientListener {
-    /// A listener that holds `max_connections` open at most.
+    /// Creates a listener that keeps at most `max_connections` connections open.
     pub fn new(event_loop: Rc<EventLoop>, max_connections: usize) -> Rc<Self> {
         Rc::new(ClientListener {
             handler: Rc::new(RequestHandler::new(event_loop.clone())),
@@ -38,64 +38,69 @@
     /// Accepts connections until the future is dropped.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
-            self.wait_for_room().await;
+            self.wait_until_below_limit().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let stream = Rc::new(stream);
                     self.spawn_connection(stream.clone(), stream);
                 }
                 Err(e) => {
-                    log::warn!("accept: {e}");
+                    log::warn!("failed to accept a client connection, retrying in {ACCEPT_BACKOFF:?}: {e}");
                     tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Waits until there is room for one more connection, and closes others for it where that loses nothing.
-    async fn wait_for_room(&self) {
+    /// Waits until one more connection may be opened, and evicts open connections that can be closed without
+    /// losing a request.
+    async fn wait_until_below_limit(&self) {
         while self.connections.count() >= self.max_connections {
-            let made_room = self.make_room();
-            self.handler.set_saturated(!made_room);
-            // One that was asked to close may have received a request meanwhile; then another is asked.
+            let evicted = self.evict_one();
+            self.handler.set_saturated(!evicted);
+            // An idle connection that was asked to close stays open if a request arrives on it in the
+            // meantime. The next iteration then evicts another one.
             let _ = tokio::time::timeout(EVICTION_INTERVAL, self.connections.connection_removed()).await;
         }
         self.handler.set_saturated(false);
     }
 
-    fn make_room(&self) -> bool {
-        eviction::make_room(&self.connections, self.event_loop.now())
+    fn evict_one(&self) -> bool {
+        eviction::evict_one(&self.connections, self.event_loop.now())
     }
 
     /// Registers a connection and starts its task.
-    fn spawn_connection(&self, stream: Rc<TcpStream>, unread: Rc<dyn UnreadBytes>) {
-        // Registered before anything else can be accepted: a burst must not pass the bound.
-        let registered = self.connections.register(Connection::new(stream, unread, self.event_loop.now()));
+    fn spawn_connection(&self, stream: Rc<TcpStream>, unread_bytes: Rc<dyn UnreadBytes>) {
+        // The connection is registered here, before the next one is accepted, so that a burst of connections
+        // cannot exceed the limit.
+        let registered =
+            self.connections.register(Connection::new(stream, unread_bytes, self.event_loop.now()));
         let task = serve_connection(registered, self.handler.clone(), self.event_loop.clone());
         tokio::task::spawn_local(task);
     }
 
-    /// Closes connections that are idle for too long or make no progress, for the life of the process.
+    /// Closes connections that are idle for too long or make no progress, for the lifetime of the process.
     pub async fn run_idle_reaper(self: Rc<Self>) {
         idle_reaper::reap_periodically(&self.connections, || self.event_loop.now()).await;
     }
 
-    /// From now on responses close their connections, so that clients move on.
+    /// Makes later responses close their connections, so that clients move to other gateways.
     pub fn start_draining(&self) {
         self.handler.start_draining();
     }
 
-    /// Closes the connections that owe no response and on which no request has begun.
+    /// Asks the tasks of all idle connections to close them: those without an outstanding response on which
+    /// no part of a request has arrived.
     pub fn close_idle(&self) {
         let now = self.event_loop.now();
         let entries = self.connections.entries();
         let idle = entries.values().filter(|connection| connection.may_close_in_shutdown(now));
-        idle.for_each(|connection| connection.request_close());
+        idle.for_each(|connection| connection.signal_close());
     }
 
-    /// From now on requests are rejected at once: there is no time left to serve them.
+    /// Makes the handler answer later requests with 503 at once, because no time is left to serve them.
     pub fn reject_new_requests(&self) {
-        self.handler.start_rejecting();
+        self.handler.reject_new_requests();
     }
 
     /// Number of open connections.
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,9 +1,10 @@
-//! Client connections: accepts them, reads each request whole and writes its one response.
+//! Accepts client connections, reads each request completely and writes its response.
 //!
 //! [`ClientListener`] accepts connections and registers each in the `connection_table`. A `connection_task`
 //! serves one connection through an `instrumented_stream`, which keeps the state in `connection` up to date.
-//! Each request passes the steps of the `request_handler`: read, validate, admit, respond. The `idle_reaper`
-//! and the `eviction` module close connections that make no progress or whose place is needed.
+//! The `request_handler` validates, admits and answers each request. The `idle_reaper` closes
+//! connections that are idle for too long or make no progress. The `eviction` module closes a connection when
+//! the connection limit is reached.
 
 mod connection;
 mod connection_table;
--- a/src/net/client/quota_header.rs
+++ b/src/net/client/quota_header.rs
@@ -1,22 +1,22 @@
-//! The `X-Quota` header: `units=2,spread=3,first=1`.
+//! Parses the `X-Quota` header, for example `units=2,spread=3,first=1`.
 
 use super::headers::parse_decimal;
 use crate::settings::Settings;
 
-/// Most units of one request where the settings state no maximum.
+/// Maximum units of one request if the settings have no maximum.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
 
-/// Bounds on the fields of an `X-Quota` header.
+/// Limits on the fields of an `X-Quota` header.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaLimits {
-    /// Most units of one request.
+    /// Maximum units of one request.
     pub max_units: f64,
-    /// Gateways of the fleet, 1 at least.
+    /// Number of gateways in the fleet, at least 1.
     pub gateway_count: f64,
 }
 
 impl QuotaLimits {
-    /// The bounds that the settings state.
+    /// Derives the limits from the settings.
     pub fn from_settings(settings: &Settings) -> Self {
         QuotaLimits {
             max_units: if settings.max_units > 0.0 { settings.max_units } else { DEFAULT_MAX_UNITS },
@@ -25,16 +25,17 @@
     }
 }
 
-/// What a request draws from its tenant's quota.
+/// The parsed fields of an `X-Quota` header.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Units of the request.
+    /// Units that the request consumes of its tenant's quota.
     pub units: f64,
-    /// Gateways through which the tenant's requests come in.
+    /// Number of gateways that receive the tenant's requests.
     pub gateway_count: f64,
 }
 
-/// Reads the header; none unless each field occurs once and is within the limits. Unknown fields are skipped.
+/// Parses the header. Returns `None` unless each field occurs exactly once and is within the limits. Unknown
+/// fields are skipped.
 pub fn parse_quota(text: &str, limits: QuotaLimits) -> Option<Quota> {
     let mut units = None;
     let mut gateway_count = None;
@@ -53,6 +54,6 @@
         }
     }
     let quota = Quota { units: units?, gateway_count: gateway_count? };
-    let are_whole = quota.gateway_count.fract() == 0.0 && first_gateway?.fract() == 0.0;
-    are_whole.then_some(quota)
+    let are_integers = quota.gateway_count.fract() == 0.0 && first_gateway?.fract() == 0.0;
+    are_integers.then_some(quota)
 }
--- a/src/net/client/request_body.rs
+++ b/src/net/client/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a request whole.
+//! Reads the body of a request completely.
 
 use super::connection::READ_TIMEOUT;
 use super::request_error::RequestError;
@@ -7,12 +7,13 @@
 use hyper::body::{Body, Incoming};
 use std::time::Duration;
 
-/// Longest body of a request, bytes.
+/// Maximum length of a request body, bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Reads a body whole, so that a rejection never meets a client that is still sending.
+/// Reads a body completely. Requests are admitted or rejected only afterwards, so a rejection never reaches a
+/// client that is still sending its body.
 ///
-/// An error if the body is too long, does not arrive in time or breaks off.
+/// Fails if the body is too long, incomplete or not received in time.
 pub async fn read_body(body: Incoming) -> Result<Bytes, RequestError> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
--- a/src/net/client/request_error.rs
+++ b/src/net/client/request_error.rs
@@ -1,51 +1,51 @@
-//! Why a request is rejected before it is admitted.
+//! Errors with which a request is answered before it is admitted.
 
 use hyper::StatusCode;
 use std::fmt;
 
-/// Why a request is rejected before it is admitted. Each is answered by a status and a line of text.
+/// Error with which a request is answered before it is admitted. Each has a status and one line of text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// It has a `Transfer-Encoding`.
+    /// The request has a `Transfer-Encoding`.
     TransferEncoding,
-    /// A header that may occur once occurs twice.
+    /// A header that may occur only once occurs more than once.
     DuplicateHeader,
     /// A header's value is not visible ASCII.
-    HeaderNotText,
-    /// The path names no class.
+    HeaderNotAscii,
+    /// The path does not start with the name of a class.
     UnknownPath,
-    /// The class in the header is not that of the path.
+    /// The class in the header differs from the class in the path.
     ClassMismatch,
     /// The class has no settings.
     UnknownClass,
-    /// The method is not that of the class.
+    /// The method is not the one that the class requires.
     MethodNotAllowed,
-    /// The class needs an idempotency key, and there is none.
+    /// The class requires an idempotency key, and the request has none.
     MissingIdempotencyKey,
     /// The correlation id is absent, empty or too long.
-    MissingCorrelationId,
+    InvalidCorrelationId,
     /// The plan is absent or unknown.
     UnknownPlan,
-    /// The tenant in the query cannot be read.
+    /// The tenant in the query is absent, repeated or invalid.
     InvalidTenant,
-    /// The time left is absent, unreadable or out of range.
+    /// The time left is absent, invalid or out of range.
     InvalidTimeLeft,
-    /// The quota header is absent, unreadable or out of range.
+    /// The quota header is absent, invalid or out of range.
     InvalidQuota,
     /// A `GET` has a body.
     UnexpectedBody,
     /// The body is longer than allowed.
     BodyTooLong,
-    /// The connection ended or broke within the body.
+    /// The connection was closed or lost before the body was complete.
     IncompleteBody,
-    /// The body did not arrive in time.
+    /// The body was not received in time.
     BodyTimeout,
     /// Another request with this correlation id is in flight.
     CorrelationIdInFlight,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::TransferEncoding => StatusCode::LENGTH_REQUIRED,
@@ -55,11 +55,11 @@
             RequestError::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             RequestError::CorrelationIdInFlight => StatusCode::CONFLICT,
             RequestError::DuplicateHeader
-            | RequestError::HeaderNotText
+            | RequestError::HeaderNotAscii
             | RequestError::ClassMismatch
             | RequestError::UnknownClass
             | RequestError::MissingIdempotencyKey
-            | RequestError::MissingCorrelationId
+            | RequestError::InvalidCorrelationId
             | RequestError::UnknownPlan
             | RequestError::InvalidTenant
             | RequestError::InvalidTimeLeft
@@ -69,18 +69,18 @@
         }
     }
 
-    /// The body of the response: one line.
+    /// Body of the response: one line.
     pub fn response_text(self) -> &'static str {
         match self {
             RequestError::TransferEncoding => "Content-Length is wanted, and no Transfer-Encoding\n",
             RequestError::DuplicateHeader => "a header stands twice\n",
-            RequestError::HeaderNotText => "a header is no plain text\n",
+            RequestError::HeaderNotAscii => "a header is no plain text\n",
             RequestError::UnknownPath => "no such path\n",
             RequestError::ClassMismatch => "the class in the header is not that of the path\n",
             RequestError::UnknownClass => "no such class\n",
             RequestError::MethodNotAllowed => "the class wants another method\n",
             RequestError::MissingIdempotencyKey => "Idempotency-Key is missing\n",
-            RequestError::MissingCorrelationId => "X-Correlation-Id is missing\n",
+            RequestError::InvalidCorrelationId => "X-Correlation-Id is missing\n",
             RequestError::UnknownPlan => "unknown plan\n",
             RequestError::InvalidTenant => "no customer that can be read\n",
             RequestError::InvalidTimeLeft => "X-Time-Left is missing or out of range\n",
--- a/src/net/client/request_handler.rs
+++ b/src/net/client/request_handler.rs
@@ -1,4 +1,4 @@
-//! Takes one request through its steps: read, validate, admit, respond.
+//! Handles each request: validates its head, reads its body, admits it and responds.
 
 use super::connection::Connection;
 use super::disconnect::DisconnectGuard;
@@ -15,7 +15,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The path that tells whether the gateway is ready.
+/// Path of the health check, which reports whether the gateway is ready.
 const HEALTH_PATH: &str = "/healthz";
 
 /// Handles the requests of all client connections.
@@ -28,7 +28,7 @@
 }
 
 impl RequestHandler {
-    /// A handler that hands valid requests to this event loop.
+    /// Creates a handler that submits valid requests to `event_loop`.
     pub fn new(event_loop: Rc<EventLoop>) -> Self {
         RequestHandler {
             event_loop,
@@ -39,26 +39,26 @@
         }
     }
 
-    /// From now on responses close their connections, so that clients move on.
+    /// Makes later responses close their connections, so that clients move to other gateways.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
-    /// From now on requests are rejected at once: there is no time left to serve them.
-    pub fn start_rejecting(&self) {
+    /// Makes the handler answer later requests with 503 at once, because no time is left to serve them.
+    pub fn reject_new_requests(&self) {
         self.rejecting.set(true);
     }
 
-    /// Notes whether new connections wait while no open one can be closed for them.
+    /// Sets whether new connections have to wait because the limit is reached and no open one can be evicted.
     pub fn set_saturated(&self, saturated: bool) {
         self.saturated.set(saturated);
     }
 
-    /// Handles one request and gives its response, which also says whether the connection closes.
+    /// Handles one request and returns its response, which also announces whether the connection closes.
     pub async fn handle(&self, request: Request<Incoming>, connection: &Connection) -> ClientResponse {
         let mut response = self.process(request, connection).await.unwrap_or_else(response::from_error);
-        // While saturated, a connection that is kept would lock out the clients that wait for one. Requests
-        // behind this one are answered first: they would be lost with the connection.
+        // While saturated, keeping a connection open would block the clients that wait to connect. It is not
+        // closed while further requests have arrived on it, because they would be lost.
         if (self.draining.get() || self.saturated.get()) && connection.is_last_request() {
             response::announce_close(&mut response);
         }
@@ -73,15 +73,17 @@
         let (head, body) = request.into_parts();
         check_framing(&head.headers)?;
         if head.uri.path() == HEALTH_PATH {
-            connection.record_request(self.event_loop.now());
+            connection.record_received_request(self.event_loop.now());
             return Ok(response::health(self.event_loop.is_ready()));
         }
-        // Before the body is read: no memory is held for a request that is rejected.
+        // The head is validated before the body is read, so that an invalid request holds no memory for a
+        // body.
         let validated = validate_head(&head, self.event_loop.names(), self.event_loop.settings())?;
-        // If the client disconnects at this await, nothing has been admitted yet.
+        // If the client disconnects during this await, there is nothing to withdraw: the request has not been
+        // admitted yet.
         let body = read_body(body).await?;
         if self.rejecting.get() {
-            connection.record_request(self.event_loop.now());
+            connection.record_received_request(self.event_loop.now());
             return Ok(response::shutting_down());
         }
         check_body(&head.method, &body)?;
@@ -92,24 +94,24 @@
             headers: validated.forwarded_headers,
             body,
         };
-        connection.record_request(self.event_loop.now());
+        connection.record_received_request(self.event_loop.now());
         let client = Rc::downgrade(connection.stream());
         let answer =
             self.admit(IncomingRequest { request: validated.request, forward, client }, connection).await;
         Ok(response::from_answer(answer))
     }
 
-    /// Hands a request to the event loop and waits for its answer. If the client disconnects meanwhile, the
-    /// connection's task drops this future, and the guard reports it.
-    async fn admit(&self, arrival: IncomingRequest, connection: &Connection) -> Answer {
-        let (id, answer) = self.event_loop.submit(arrival);
+    /// Submits a request to the event loop and waits for its answer. If the client disconnects in the
+    /// meantime, the connection's task drops this future, and the guard reports the disconnect.
+    async fn admit(&self, request: IncomingRequest, connection: &Connection) -> Answer {
+        let (id, receiver) = self.event_loop.submit(request);
         let disconnect_guard = DisconnectGuard::new(&self.event_loop, id);
-        let answer = match answer.await {
+        let answer = match receiver.await {
             Ok(answer) => answer,
-            // The event loop has noticed the disconnect first and dropped the sender: the connection's task
+            // The event loop has noticed the disconnect first and dropped the sender. The connection's task
             // is about to drop this future as well.
             Err(_) if is_closed_by_peer(connection.stream()) => std::future::pending().await,
-            // A sender lost otherwise is a defect; the client still gets its response.
+            // A sender that is dropped for any other reason is a bug; the client still gets a response.
             Err(_) => Answer::Failed,
         };
         disconnect_guard.disarm();
--- a/src/net/client/request_parser.rs
+++ b/src/net/client/request_parser.rs
@@ -1,5 +1,5 @@
-//! Validates the head of a request. All of it is checked before the request is admitted: an invalid request
-//! must not reach the decisions, nor change what is known of a tenant.
+//! Validates the head of a request. The whole head is validated before the request is admitted, so that an
+//! invalid request neither reaches the policy nor changes its state for a tenant.
 
 use super::headers::{
     parse_decimal, single_value, CLIENT_RETRY, CORRELATION_ID, IDEMPOTENCY_KEY, PLAN, QUOTA, SERVICE_CLASS,
@@ -16,28 +16,28 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Uri};
 
-/// Tenant ids are numbers below this.
+/// Exclusive upper bound of tenant ids.
 const TENANT_ID_LIMIT: u64 = 1 << 33;
-/// Hexadecimal digits of a tenant id.
+/// Length of a tenant id, hexadecimal digits.
 const TENANT_ID_DIGITS: usize = 16;
-/// Longest correlation id, bytes.
+/// Maximum length of a correlation id, bytes.
 const MAX_CORRELATION_ID_LENGTH: usize = 128;
-/// Longest time a client may state that it waits, ms: an hour.
+/// Maximum time left that a client may state, ms: one hour.
 const MAX_TIME_LEFT: Millis = 3_600_000.0;
 
 /// A request whose head has been validated.
 pub struct ValidatedHead {
-    /// The request as the policy sees it.
+    /// The request in the form that the policy handles.
     pub request: event::Request,
-    /// Its correlation id.
+    /// The request's correlation id.
     pub correlation_id: Box<str>,
-    /// The headers that are forwarded to a server.
+    /// Headers that are forwarded to a server.
     pub forwarded_headers: HeaderMap,
 }
 
-/// Rejects what can be read in two ways: a length beside a transfer coding may hide a second request (request
-/// smuggling), and the HTTP parser keeps the coding only. So a length is all that is accepted, and one
-/// `Host`.
+/// Fails if the framing or the host of a request is ambiguous. A `Content-Length` next to a
+/// `Transfer-Encoding` may hide a second request (request smuggling), and the HTTP parser uses only the
+/// `Transfer-Encoding`. Only `Content-Length` is therefore accepted, and at most one `Host`.
 pub fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
@@ -45,7 +45,7 @@
     single_value(headers, &HOST).map(|_| ())
 }
 
-/// Validates a head against the configured names and settings. The first error found is returned.
+/// Validates a head against the configured names and settings. Returns the first error found.
 pub fn validate_head(
     head: &Parts,
     names: &Names,
@@ -61,7 +61,7 @@
     let tenant = parse_tenant(head.uri.query().unwrap_or("")).ok_or(RequestError::InvalidTenant)?;
     let time_left = parse_time_left(headers, class)?;
     let quota = parse_quota_header(headers, settings)?;
-    // Its value is not used, but it may occur once only.
+    // The value of this header is not used, but the header may occur only once.
     single_value(headers, &CLIENT_RETRY)?;
     let request = event::Request {
         tenant,
@@ -76,7 +76,7 @@
     Ok(ValidatedHead { request, correlation_id: correlation_id.into(), forwarded_headers })
 }
 
-/// Rejects a `GET` with a body.
+/// Fails if a `GET` request has a body.
 pub fn check_body(method: &Method, body: &Bytes) -> Result<(), RequestError> {
     if method == Method::GET && !body.is_empty() {
         return Err(RequestError::UnexpectedBody);
@@ -84,7 +84,7 @@
     Ok(())
 }
 
-/// The URI that a server is sent: path and query, also where the client sent an absolute URI.
+/// Returns the URI to send to a server: path and query, even if the client sent an absolute URI.
 pub fn origin_form(uri: Uri) -> Uri {
     match (uri.scheme(), uri.path_and_query()) {
         (Some(_), Some(path)) => path.clone().into(),
@@ -121,7 +121,7 @@
 fn parse_correlation_id(headers: &HeaderMap) -> Result<&str, RequestError> {
     let id = single_value(headers, &CORRELATION_ID)?;
     id.filter(|id| (1..=MAX_CORRELATION_ID_LENGTH).contains(&id.len()))
-        .ok_or(RequestError::MissingCorrelationId)
+        .ok_or(RequestError::InvalidCorrelationId)
 }
 
 fn parse_plan(headers: &HeaderMap, names: &Names) -> Result<PlanId, RequestError> {
@@ -130,8 +130,8 @@
     plan.map(PlanId).ok_or(RequestError::UnknownPlan)
 }
 
-/// How long the client still waits, ms. No client waits longer than its class allows, and nothing is kept
-/// longer.
+/// Returns how long the client still waits, ms. The deadline of the class caps it, so that no request is kept
+/// for longer.
 fn parse_time_left(headers: &HeaderMap, class: &Class) -> Result<Millis, RequestError> {
     let seconds = single_value(headers, &TIME_LEFT)?.and_then(parse_decimal);
     let time_left = seconds.map(|seconds| seconds * 1000.0);
@@ -146,11 +146,11 @@
     quota.ok_or(RequestError::InvalidQuota)
 }
 
-/// The tenant in a query: 16 hexadecimal digits, once.
+/// Returns the tenant in a query. It must occur exactly once and have 16 hexadecimal digits.
 fn parse_tenant(query: &str) -> Option<TenantId> {
     let mut values = query.split('&').filter_map(|pair| pair.strip_prefix("customer="));
-    let is_tenant = |v: &&str| v.len() == TENANT_ID_DIGITS && v.bytes().all(|b| b.is_ascii_hexdigit());
-    let value = values.next().filter(is_tenant)?;
+    let is_tenant_id = |v: &&str| v.len() == TENANT_ID_DIGITS && v.bytes().all(|b| b.is_ascii_hexdigit());
+    let value = values.next().filter(is_tenant_id)?;
     let number = u64::from_str_radix(value, 16).ok().filter(|number| *number < TENANT_ID_LIMIT)?;
     values.next().is_none().then_some(TenantId(number))
 }
--- a/src/net/client/response.rs
+++ b/src/net/client/response.rs
@@ -8,10 +8,10 @@
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// A response to a client; its body is in memory.
+/// A response to a client, with its body in memory.
 pub type ClientResponse = Response<Full<Bytes>>;
 
-/// The response to an admitted request.
+/// Builds the response to an admitted request.
 pub fn from_answer(answer: Answer) -> ClientResponse {
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
@@ -21,14 +21,15 @@
     }
 }
 
-/// The response to an invalid request. It ends the connection: what follows such a request may be anything.
+/// Builds the response to an invalid request. It closes the connection, because the bytes after an invalid
+/// request may be anything.
 pub fn from_error(error: RequestError) -> ClientResponse {
     let mut response = plain_text(error.status(), error.response_text());
     announce_close(&mut response);
     response
 }
 
-/// The response to a health check.
+/// Builds the response to a health check.
 pub fn health(is_ready: bool) -> ClientResponse {
     if is_ready {
         plain_text(StatusCode::OK, "ok\n")
@@ -37,7 +38,7 @@
     }
 }
 
-/// The response to a request that arrives when there is no time left to serve it.
+/// Builds the response to a request that arrives when the shutdown leaves no time to serve it.
 pub fn shutting_down() -> ClientResponse {
     plain_text(StatusCode::SERVICE_UNAVAILABLE, "ending\n")
 }
@@ -47,8 +48,8 @@
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// `retry_after` is in ms; 0 if none is given. The clients of this protocol read fractions of a
-/// second, beyond what HTTP defines.
+/// Builds the response to a rejected request. `retry_after` is in ms; if it is 0, the response has no
+/// `Retry-After`. HTTP allows only whole seconds there, but the clients of this protocol read fractions.
 fn rejected(retry_after: Millis) -> ClientResponse {
     let mut response = plain_text(StatusCode::TOO_MANY_REQUESTS, "over the quota or too busy\n");
     if retry_after > 0.0 {
--- a/tests/unit/client_request_parser.rs
+++ b/tests/unit/client_request_parser.rs
@@ -1,14 +1,14 @@
-//! Strict reading of what a client states in its request.
+//! Tests of the strict parsing of header and query values of a request.
 
 use super::*;
 use crate::net::client::quota_header::{parse_quota, Quota, QuotaLimits};
 
 #[test]
-fn quota_headers_are_read_strictly() {
+fn only_valid_quota_headers_are_accepted() {
     let limits = QuotaLimits { max_units: 4.0, gateway_count: 5.0 };
-    let read = |text| parse_quota(text, limits);
-    assert_eq!(read("units=2,spread=3,first=1"), Some(Quota { units: 2.0, gateway_count: 3.0 }));
-    assert_eq!(read("units=1.5, spread=5, first=4"), Some(Quota { units: 1.5, gateway_count: 5.0 }));
+    let parse = |text| parse_quota(text, limits);
+    assert_eq!(parse("units=2,spread=3,first=1"), Some(Quota { units: 2.0, gateway_count: 3.0 }));
+    assert_eq!(parse("units=1.5, spread=5, first=4"), Some(Quota { units: 1.5, gateway_count: 5.0 }));
     for invalid in [
         "units=0,spread=3,first=1",
         "units=-1,spread=3,first=1",
@@ -27,12 +27,12 @@
         "units",
         "",
     ] {
-        assert_eq!(read(invalid), None, "{invalid}");
+        assert_eq!(parse(invalid), None, "an invalid quota header was accepted: {invalid:?}");
     }
 }
 
 #[test]
-fn tenants_are_read_strictly() {
+fn only_valid_tenants_are_accepted() {
     assert_eq!(parse_tenant("a=1&customer=00000000b4d65521"), Some(TenantId(0xb4d6_5521)));
     for invalid in [
         "customer=zz",
@@ -43,6 +43,6 @@
         "customer=00000000b4d655211",
         "",
     ] {
-        assert_eq!(parse_tenant(invalid), None, "{invalid}");
+        assert_eq!(parse_tenant(invalid), None, "an invalid tenant was accepted: {invalid:?}");
     }
 }
