--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,8 +1,8 @@
-//! Clients that disconnect: nothing of a request is forwarded once its client has gone, whichever stage the
-//! request is in and however the client went. Each race is forced by a gate at which a stub peer waits, or by
-//! a gateway that is paused.
+//! Tests that no part of a request is forwarded after its client has disconnected, in any stage of the
+//! request and for any kind of disconnect. Each race is forced by a stub peer that waits at a gate, or by
+//! pausing the gateway's process.
 
-#[allow(dead_code)] // each file of tests uses its own part
+#[allow(dead_code)] // each test file uses only some of the helpers
 mod support;
 
 #[path = "client_disconnect/clients.rs"]
@@ -17,19 +17,19 @@
 mod stubs;
 
 use clients::*;
-use paused_gateway::{DisconnectingClients, PausedGateway, LATE_AFTER};
-use sockets::{wait_for_disconnects, wait_until_server_has_seen_all};
+use paused_gateway::{DisconnectingClients, PausedGateway, LATE_THRESHOLD};
+use sockets::{wait_for_disconnects, wait_until_server_has_read_all};
 use stage_scenario::*;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use stubs::*;
 use support::*;
 
-// ---- Disconnects that the gateway has noticed
-// -----------------------------------------------------------------
+// ---- Disconnects that the gateway has noticed ---------------------------------------------
 
-/// A tenant's only slot is taken, and its further requests are queued. Their clients disconnect; then the
-/// slot becomes free. None of the queued requests may be forwarded, and the slot must serve others.
+/// A slow request occupies its tenant's only slot, so further requests of the tenant are queued. Their
+/// clients disconnect, and then the slot becomes free. No queued request may be forwarded, and the slot must
+/// serve later requests.
 #[test]
 fn a_queued_request_is_not_forwarded_after_its_client_disconnects() {
     for kind in DISCONNECT_KINDS {
@@ -39,21 +39,21 @@
         setup.plan = ONE_IN_FLIGHT_PLAN;
         let gateway = setup.start();
         let mut slow = send_request(&gateway, "slow");
-        eventually("the slot to be taken", || server.count() == 1);
+        eventually("the slow request occupies the slot", || server.count() == 1);
         let queued = send_requests(&gateway, "queued", client_count(kind));
-        wait_until_read(&gateway);
+        wait_until_gateway_has_read_all(&gateway);
         queued.into_iter().for_each(|client| disconnect(client, kind));
         wait_for_disconnects(&gateway, 1);
         gate.open();
-        assert_eq!(slow.read().expect("a response").status(), 200, "{kind:?}");
+        assert_eq!(slow.read().expect("no response to the slow request").status(), 200, "{kind:?}");
         let mut after = send_request(&gateway, "after");
-        assert_eq!(after.read().expect("a response").status(), 200, "{kind:?}");
-        assert_eq!(attempts_seen(&server, "queued"), 0, "{kind:?}: forwarded for a client that had gone");
+        assert_eq!(after.read().expect("no response to the later request").status(), 200, "{kind:?}");
+        assert_eq!(attempts_seen(&server, "queued"), 0, "{kind:?}: forwarded after its client disconnected");
     }
 }
 
-/// A request waits for its connection to a server, and its client disconnects. The connection comes up later,
-/// also where attempts must not be cancelled. Nothing may be sent on it.
+/// A request waits for its connection to a server, and its client disconnects. If attempts must not be
+/// cancelled, the connection may still be established later. Nothing may be sent on it.
 #[test]
 fn a_request_awaiting_its_upstream_connection_is_not_forwarded_after_its_client_disconnects() {
     for cancellation_allowed in [true, false] {
@@ -64,18 +64,22 @@
             setup.cancellation_allowed = cancellation_allowed;
             let gateway = setup.start();
             let clients = send_requests(&gateway, "disconnected", client_count(kind));
-            wait_until_read(&gateway);
+            wait_until_gateway_has_read_all(&gateway);
             clients.into_iter().for_each(|client| disconnect(client, kind));
             wait_for_disconnects(&gateway, 0);
             let (bytes_received, connections_ended) = server.open();
             if !cancellation_allowed {
-                // These attempts go on: their connections come up when the kernel tries again, after 1, 3 or
-                // 7 s, and end. One that never comes up had nothing sent on it either.
+                // These attempts continue: their connections are established when the kernel retries, after
+                // 1, 3 or 7 s, and are then closed. Nothing was sent on a connection that is never
+                // established either, so the test does not require that one is.
                 within(Duration::from_secs(12), || connections_ended.load(Ordering::SeqCst) > 0);
             }
             assert_eq!(gateway.client().get("/healthz", "").status(), 200);
             let bytes_received = bytes_received.load(Ordering::SeqCst);
-            assert_eq!(bytes_received, 0, "{kind:?}, cancellation allowed: {cancellation_allowed}");
+            assert_eq!(
+                bytes_received, 0,
+                "{kind:?}, cancellation allowed: {cancellation_allowed}: bytes were sent to the server"
+            );
         }
     }
 }
@@ -91,22 +95,24 @@
         let (mut setup, _discovery, _counter) = setup_for(server.address);
         require_counter_calls(&mut setup, &counter, 4000.0);
         let gateway = setup.start();
-        eventually("connections", || counter.connections.load(Ordering::SeqCst) >= 4);
+        eventually("the gateway has connected to the counter", || {
+            counter.connections.load(Ordering::SeqCst) >= 4
+        });
         let clients = send_requests(&gateway, "disconnected", client_count(kind));
-        eventually("a call", || counter.requests_seen.load(Ordering::SeqCst) > 0);
-        wait_until_read(&gateway);
+        eventually("the gateway calls the counter", || counter.requests_seen.load(Ordering::SeqCst) > 0);
+        wait_until_gateway_has_read_all(&gateway);
         clients.into_iter().for_each(|client| disconnect(client, kind));
         wait_for_disconnects(&gateway, 0);
         gate.open();
         let mut after = send_request(&gateway, "after");
-        assert_eq!(after.read().expect("a response").status(), 200, "{kind:?}");
+        assert_eq!(after.read().expect("no response to the later request").status(), 200, "{kind:?}");
         let attempts = attempts_seen(&server, "disconnected");
-        assert_eq!(attempts, 0, "{kind:?}: forwarded for a client that had gone");
+        assert_eq!(attempts, 0, "{kind:?}: forwarded after its client disconnected");
     }
 }
 
-/// A server is about to reject a request without executing it, so the gateway may retry it there or
-/// elsewhere. Its client disconnects before the rejection. There must be no further attempt.
+/// A server is about to reject a request without executing it, so that the gateway may retry it on any
+/// server. The client disconnects before the rejection arrives. There must be no further attempt.
 #[test]
 fn a_request_is_not_retried_after_its_client_disconnects() {
     for cancellation_allowed in [true, false] {
@@ -118,37 +124,40 @@
                 [member("s-00000001", a.address, "Ready"), member("s-00000002", b.address, "Ready")];
             let known = list(1, true, &members);
             let (mut setup, discovery, _counter) = setup_for(a.address);
-            *discovery.list.lock().expect("a lock") = known.clone();
+            *discovery.list.lock().expect("poisoned lock") = known.clone();
             setup.known = known;
             setup.cancellation_allowed = cancellation_allowed;
             let gateway = setup.start();
             let clients = send_requests(&gateway, "slow", client_count(kind));
-            eventually("the first attempts", || a.count() + b.count() >= 1);
-            wait_until_read(&gateway);
+            eventually("the server receives the first attempt", || a.count() + b.count() >= 1);
+            wait_until_gateway_has_read_all(&gateway);
             clients.into_iter().for_each(|client| disconnect(client, kind));
             wait_for_disconnects(&gateway, 0);
             let before = a.count() + b.count();
             gate.open();
             let mut after = send_request(&gateway, "after");
-            assert_eq!(after.read().expect("a response").status(), 200, "{kind:?}");
+            assert_eq!(after.read().expect("no response to the later request").status(), 200, "{kind:?}");
             let attempts = attempts_seen(&a, "slow") + attempts_seen(&b, "slow");
-            assert_eq!(attempts, before, "{kind:?}, cancellation allowed: {cancellation_allowed}");
+            assert_eq!(
+                attempts, before,
+                "{kind:?}, cancellation allowed: {cancellation_allowed}: retried after the disconnect"
+            );
         }
     }
 }
 
-// ---- Disconnects that the gateway has had no time to notice
-// ---------------------------------------------------
+// ---- Disconnects that the gateway has had no time to notice -------------------------------
 
-/// Clients that disconnect at the same time.
+/// Number of clients that disconnect at the same time.
 const FLOOD_SIZE: usize = 500;
-/// A pause may fall between the check of a client's socket and the write that follows: one case in each.
+/// Number of late attempts that a pause of the gateway may cause: the pause can fall between the check of one
+/// client's socket and the write that follows it.
 const MAX_LATE_ATTEMPTS: usize = 1;
 
-/// Five hundred clients send a request each and disconnect before a busy gateway reads any of them. It must
-/// not forward the requests for nobody when it does.
+/// Five hundred clients send one request each and disconnect before a busy gateway reads any of them. When
+/// the gateway reads the requests, it must not forward them.
 #[test]
-fn a_flood_that_disconnects_before_it_is_read_is_not_forwarded() {
+fn a_flood_is_not_forwarded_if_its_clients_disconnect_before_it_is_read() {
     let server = Server::ok();
     let (gateway, _discovery, _counter) = start_gateway_for_flood(&server);
     let paused = PausedGateway::pause(&gateway);
@@ -156,34 +165,37 @@
     let clients = send_requests(&gateway, "disconnected", FLOOD_SIZE);
     let disconnecting = DisconnectingClients { gateway: &gateway, server: &server, clients };
     let late = disconnecting.late_attempts_after_pause(paused);
-    assert!(late <= MAX_LATE_ATTEMPTS, "{late} attempts");
+    assert!(late <= MAX_LATE_ATTEMPTS, "{late} attempts started after their clients disconnected");
 }
 
-/// Numbers of attempts after which the clients of a flood disconnect.
+/// Numbers of attempts that the server has seen when the clients of a flood disconnect, one per test run.
 const ATTEMPTS_BEFORE_DISCONNECT: [usize; 4] = [1, 60, 120, 250];
 
-/// A flood that the gateway is forwarding, among as many other requests.
+/// A flood that the gateway is forwarding, together with as many other requests.
 struct FloodBeingForwarded {
     clients: Vec<Client>,
     _others: Vec<Client>,
 }
 
 impl FloodBeingForwarded {
-    /// Returns as soon as the server has seen `min_attempts` of the flood.
+    /// Starts the flood and returns as soon as the server has seen `min_attempts` of it.
     fn start(gateway: &GatewayProcess, server: &Server, min_attempts: usize) -> Self {
         let paused = PausedGateway::pause(gateway);
         let clients = send_requests(gateway, "disconnected", FLOOD_SIZE);
         let others = send_requests(gateway, "other", FLOOD_SIZE);
         drop(paused);
-        eventually("attempts", || attempts_seen(server, "disconnected") >= min_attempts);
+        eventually("the server has seen enough attempts", || {
+            attempts_seen(server, "disconnected") >= min_attempts
+        });
         FloodBeingForwarded { clients, _others: others }
     }
 }
 
-/// Five hundred clients disconnect while the gateway is forwarding their requests. Hundreds of its tasks are
-/// due before those that would notice the closes, and each of them may begin an attempt. None may.
+/// Five hundred clients disconnect while the gateway is forwarding their requests. Hundreds of the gateway's
+/// tasks are scheduled before the tasks that would notice the disconnects, and each of them could start an
+/// attempt. None of them may.
 #[test]
-fn a_flood_that_disconnects_while_it_is_forwarded_is_not_forwarded_further() {
+fn a_flood_is_not_forwarded_further_after_its_clients_disconnect() {
     for min_attempts in ATTEMPTS_BEFORE_DISCONNECT {
         let server = Server::ok();
         let (gateway, _discovery, _counter) = start_gateway_for_flood(&server);
@@ -191,23 +203,25 @@
         let clients = flood.clients;
         let disconnecting = DisconnectingClients { gateway: &gateway, server: &server, clients };
         let late = disconnecting.late_attempts_after_pause(PausedGateway::pause(&gateway));
-        assert!(late <= MAX_LATE_ATTEMPTS, "{late} attempts after {min_attempts}");
+        assert!(
+            late <= MAX_LATE_ATTEMPTS,
+            "{late} attempts started after their clients disconnected at attempt {min_attempts}"
+        );
     }
 }
 
-// ---- Each stage of a request
-// ----------------------------------------------------------------------------------
+// ---- Each stage of a request --------------------------------------------------------------
 
-/// What a request waits for happens while the gateway is paused, and so do the disconnects of the clients.
-/// When the gateway goes on, it finds both at once and must not begin attempts for clients that have gone.
+/// While the gateway is paused, the event that the requests wait for happens and the clients disconnect. When
+/// the gateway resumes, it finds both at once and must not start attempts for clients that have disconnected.
 #[test]
-fn at_every_stage_a_request_is_not_forwarded_after_a_pause_in_which_its_client_disconnects() {
+fn at_every_stage_a_request_is_not_forwarded_if_its_client_disconnects_while_the_gateway_is_paused() {
     for stage in REQUEST_STAGES {
-        // Where clients stay, attempts begin: first ones or further ones.
+        // Control run: if the clients stay connected, the gateway starts first or further attempts.
         let mut scenario = StageScenario::start(stage, true);
         let attempts_before = scenario.attempts_before_release();
         scenario.release();
-        eventually(&format!("further attempts, {stage:?}"), || {
+        eventually(&format!("the server sees further attempts, {stage:?}"), || {
             attempts_seen(&scenario.server, "disconnected") > attempts_before
         });
         drop(scenario);
@@ -215,19 +229,19 @@
             let mut scenario = StageScenario::start(stage, cancellation_allowed);
             let paused = PausedGateway::pause(&scenario.gateway);
             scenario.release();
-            wait_until_server_has_seen_all(&scenario.server);
+            wait_until_server_has_read_all(&scenario.server);
             let late = scenario.disconnecting_clients().late_attempts_after_pause(paused);
             assert!(
                 late <= MAX_LATE_ATTEMPTS,
-                "{late} attempts, {stage:?}, cancellation allowed: {cancellation_allowed}"
+                "{late} late attempts, {stage:?}, cancellation allowed: {cancellation_allowed}"
             );
         }
     }
 }
 
-/// Clients disconnect from a running gateway, and 0.1 s later what their requests wait for happens. No
-/// attempt may begin. (A connection that comes up that late has a test above: where cancellation is allowed,
-/// none does.)
+/// Clients disconnect from a running gateway, and 0.1 s later the event that their requests wait for happens.
+/// No attempt may start. The connecting stage is left out: a test above covers a connection that is
+/// established that late, and if cancellation is allowed none is established.
 #[test]
 fn at_every_stage_a_request_is_not_forwarded_if_it_is_released_0_1_s_after_its_client_disconnects() {
     for stage in REQUEST_STAGES.into_iter().filter(|stage| *stage != RequestStage::Connecting) {
@@ -236,19 +250,19 @@
             let mut disconnecting = scenario.disconnecting_clients();
             let ports = disconnecting.ports();
             let _half_closed = disconnecting.disconnect_all(&ports);
-            std::thread::sleep(LATE_AFTER);
-            wait_until_server_has_seen_all(&scenario.server);
+            std::thread::sleep(LATE_THRESHOLD);
+            wait_until_server_has_read_all(&scenario.server);
             let before = attempts_seen(&scenario.server, "disconnected");
             scenario.release();
-            wait_until_server_has_seen_all(&scenario.server);
+            wait_until_server_has_read_all(&scenario.server);
             let late = attempts_seen(&scenario.server, "disconnected") - before;
-            assert_eq!(late, 0, "{stage:?}, cancellation allowed: {cancellation_allowed}");
+            assert_eq!(late, 0, "late attempts, {stage:?}, cancellation allowed: {cancellation_allowed}");
         }
     }
 }
 
-/// Clients disconnect from a running gateway just when what their requests wait for happens. Attempts that
-/// have begun by then are unavoidable; later than 0.1 s after the disconnects there must be none.
+/// Clients disconnect from a running gateway just as the event that their requests wait for happens. Attempts
+/// that start at that moment are unavoidable, but none may start later than 0.1 s after the disconnects.
 #[test]
 fn no_attempt_begins_later_than_0_1_s_after_its_client_disconnects() {
     for stage in REQUEST_STAGES {
@@ -258,7 +272,7 @@
             let late = scenario.disconnecting_clients().late_attempts();
             assert!(
                 late <= MAX_LATE_ATTEMPTS,
-                "{late} attempts, {stage:?}, cancellation allowed: {cancellation_allowed}"
+                "{late} late attempts, {stage:?}, cancellation allowed: {cancellation_allowed}"
             );
         }
     }
@@ -268,6 +282,9 @@
         let flood = FloodBeingForwarded::start(&gateway, &server, min_attempts);
         let clients = flood.clients;
         let late = DisconnectingClients { gateway: &gateway, server: &server, clients }.late_attempts();
-        assert!(late <= MAX_LATE_ATTEMPTS, "{late} attempts after {min_attempts}");
+        assert!(
+            late <= MAX_LATE_ATTEMPTS,
+            "{late} late attempts after disconnects at attempt {min_attempts}"
+        );
     }
 }
--- a/tests/client_disconnect/paused_gateway.rs
+++ b/tests/client_disconnect/paused_gateway.rs
@@ -1,16 +1,16 @@
-//! Counts attempts that begin for clients that have gone, with a gateway that is paused for a while.
+//! Pauses the gateway, and counts the attempts that it starts for clients that have disconnected.
 
 use crate::clients::{attempts_seen, disconnect_all};
-use crate::sockets::{client_ports, wait_until_server_has_seen_all, CLOSE_WAIT, ESTABLISHED};
+use crate::sockets::{client_ports, wait_until_server_has_read_all, CLOSE_WAIT, ESTABLISHED};
 use crate::support::{eventually, Client, GatewayProcess, Server};
 use std::collections::HashSet;
 use std::process::Command;
 use std::time::Duration;
 
-/// An attempt that begins this long after its client has disconnected is late.
-pub const LATE_AFTER: Duration = Duration::from_millis(100);
+/// An attempt that starts more than this time after its client disconnected is late.
+pub const LATE_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// Stops the gateway's process, as a machine does that is short of CPU, until it is dropped.
+/// Guard that stops the gateway's process until it is dropped. This simulates a machine that is short of CPU.
 pub struct PausedGateway {
     process_id: String,
 }
@@ -20,7 +20,9 @@
         gateway.signal("-STOP");
         let stat = format!("/proc/{}/stat", gateway.child.id());
         eventually("the gateway is paused", || {
-            std::fs::read_to_string(&stat).expect("its state").contains(") T ")
+            std::fs::read_to_string(&stat)
+                .expect("failed to read the state of the gateway's process")
+                .contains(") T ")
         });
         PausedGateway { process_id: gateway.child.id().to_string() }
     }
@@ -32,7 +34,8 @@
     }
 }
 
-/// Clients whose requests are named `disconnected`, and whose late attempts are counted.
+/// Clients that will disconnect. Their requests are named `disconnected`, and their late attempts are
+/// counted.
 pub struct DisconnectingClients<'a> {
     pub gateway: &'a GatewayProcess,
     pub server: &'a Server,
@@ -40,44 +43,47 @@
 }
 
 impl DisconnectingClients<'_> {
-    /// Disconnects the clients while the gateway is paused, and counts the attempts that begin for them when
-    /// it goes on, after more than [`LATE_AFTER`].
+    /// Disconnects the clients while the gateway is paused, and counts the attempts that the gateway starts
+    /// for them when it resumes, after more than [`LATE_THRESHOLD`].
     pub fn late_attempts_after_pause(mut self, paused: PausedGateway) -> usize {
         let ports = self.ports();
         let _half_closed = self.disconnect_all(&ports);
-        std::thread::sleep(LATE_AFTER);
+        std::thread::sleep(LATE_THRESHOLD);
         self.attempts_after_resume(paused, &ports)
     }
 
-    /// Disconnects the clients while the gateway runs, and counts the attempts that begin for them after
-    /// [`LATE_AFTER`].
+    /// Disconnects the clients while the gateway runs, and counts the attempts that the gateway starts for
+    /// them after [`LATE_THRESHOLD`].
     pub fn late_attempts(mut self) -> usize {
         let ports = self.ports();
         let _half_closed = self.disconnect_all(&ports);
-        std::thread::sleep(LATE_AFTER);
+        std::thread::sleep(LATE_THRESHOLD);
         self.attempts_after_resume(PausedGateway::pause(self.gateway), &ports)
     }
 
     pub fn ports(&self) -> HashSet<u16> {
-        let addresses = self.clients.iter().map(|client| client.stream.local_addr().expect("an address"));
+        let addresses =
+            self.clients.iter().map(|client| client.stream.local_addr().expect("the socket has no address"));
         addresses.map(|address| address.port()).collect()
     }
 
     pub fn disconnect_all(&mut self, ports: &HashSet<u16>) -> Vec<Client> {
         let half_closed = disconnect_all(std::mem::take(&mut self.clients));
-        eventually("the kernel has received the closes", || !self.any_in_state(ports, ESTABLISHED));
+        eventually("the disconnects have reached the gateway's sockets", || {
+            !self.any_in_state(ports, ESTABLISHED)
+        });
         half_closed
     }
 
-    /// Counts the attempts that begin once the gateway goes on. What it had begun before the pause reaches
-    /// the server during the pause, so the count does not depend on how long the machine takes for anything.
+    /// Counts the attempts that start once the gateway resumes. Attempts that started before the pause reach
+    /// the server during the pause, so the count does not depend on the speed of the machine.
     fn attempts_after_resume(&self, paused: PausedGateway, ports: &HashSet<u16>) -> usize {
-        wait_until_server_has_seen_all(self.server);
+        wait_until_server_has_read_all(self.server);
         let before = attempts_seen(self.server, "disconnected");
         drop(paused);
-        eventually("the gateway closes the connections", || !self.any_in_state(ports, CLOSE_WAIT));
+        eventually("the gateway closes the clients' connections", || !self.any_in_state(ports, CLOSE_WAIT));
         assert_eq!(self.gateway.client().get("/healthz", "").status(), 200);
-        wait_until_server_has_seen_all(self.server);
+        wait_until_server_has_read_all(self.server);
         attempts_seen(self.server, "disconnected") - before
     }
 
--- a/tests/client_disconnect/sockets.rs
+++ b/tests/client_disconnect/sockets.rs
@@ -1,18 +1,18 @@
-//! States of connections, as the kernel tells them.
+//! Reads the states of connections from the kernel.
 
 use crate::support::{eventually, GatewayProcess, Server};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a server sees nothing new before it has seen all.
+/// A server that has received no request for this time is assumed to have read everything sent to it.
 const QUIET_TIME: Duration = Duration::from_millis(200);
 
 const LISTEN: &str = "0A";
 pub const ESTABLISHED: &str = "01";
-/// Closed by the other end alone.
+/// Only the peer has closed the connection.
 pub const CLOSE_WAIT: &str = "08";
 
-/// A line of the kernel's table of connections.
+/// One line of the kernel's table of TCP sockets.
 struct SocketEntry {
     local: String,
     remote: String,
@@ -22,26 +22,28 @@
 
 impl SocketEntry {
     fn has_unread_bytes(&self) -> bool {
-        let (_, receive_queue) = self.queues.split_once(':').expect("two queues");
-        let queued = u64::from_str_radix(receive_queue, 16).expect("a length");
+        let (_, receive_queue) = self.queues.split_once(':').expect("the queues column has no colon");
+        let queued = u64::from_str_radix(receive_queue, 16).expect("the queue length is not hexadecimal");
         match self.state.as_str() {
             LISTEN => false,
-            // The peer's close counts as one byte, and stays unread while a stub waits at a gate.
+            // The kernel counts the peer's close as one byte, which stays unread while a stub waits at a
+            // gate.
             CLOSE_WAIT => queued > 1,
             _ => queued > 0,
         }
     }
 
     fn remote_port(&self) -> u16 {
-        let (_, port) = self.remote.split_once(':').expect("an address");
-        u16::from_str_radix(port, 16).expect("a port")
+        let (_, port) = self.remote.split_once(':').expect("the address column has no colon");
+        u16::from_str_radix(port, 16).expect("the port is not hexadecimal")
     }
 }
 
-/// The kernel's sockets at this local address.
+/// Returns the kernel's entries of all sockets whose local port is that of `address`.
 fn sockets_at(address: SocketAddr) -> Vec<SocketEntry> {
     let port = format!(":{:04X}", address.port());
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of connections");
+    let table =
+        std::fs::read_to_string("/proc/net/tcp").expect("failed to read the kernel's table of TCP sockets");
     let entries = table.lines().map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         let column = |i: usize| columns[i].to_owned();
@@ -50,27 +52,28 @@
     entries.filter(|entry| entry.local.ends_with(&port)).collect()
 }
 
-/// Ports of the clients whose connections are in these states at the gateway's end.
+/// Returns the ports of the clients whose connections are in one of these states at the gateway's end.
 pub fn client_ports(gateway: &GatewayProcess, states: &[&str]) -> Vec<u16> {
     let entries = sockets_at(gateway.address).into_iter();
     entries.filter(|entry| states.contains(&entry.state.as_str())).map(|entry| entry.remote_port()).collect()
 }
 
-/// Waits until the gateway has noticed the disconnects: it holds so many connections of clients and no more.
+/// Waits until the gateway has noticed the disconnects: exactly `remaining` client connections are open.
 pub fn wait_for_disconnects(gateway: &GatewayProcess, remaining: usize) {
-    eventually("the gateway closes the connections of those who disconnected", || {
+    eventually("the gateway closes the connections of the clients that disconnected", || {
         client_ports(gateway, &[ESTABLISHED, CLOSE_WAIT]).len() == remaining
     });
-    // A reset shows there before the gateway has heard of it; a whole exchange later it has.
+    // The kernel's table shows a reset before the gateway has noticed it. After a health check, the gateway
+    // has noticed it too.
     assert_eq!(gateway.client().get("/healthz", "").status(), 200);
 }
 
-/// Waits until the server has seen all that was sent to it: nothing is unread in its sockets, and nothing new
-/// is seen for a while.
-pub fn wait_until_server_has_seen_all(server: &Server) {
+/// Waits until the server has read everything that was sent to it: its sockets hold no unread bytes, and it
+/// receives no further request for [`QUIET_TIME`].
+pub fn wait_until_server_has_read_all(server: &Server) {
     let mut last_count = 0;
     let mut last_change = Instant::now();
-    eventually("the server has seen all", || {
+    eventually("the server has read everything that was sent to it", || {
         let is_unread = sockets_at(server.address).iter().any(SocketEntry::has_unread_bytes);
         let count = server.count();
         if is_unread || count != last_count {
--- a/tests/client_disconnect/stage_scenario.rs
+++ b/tests/client_disconnect/stage_scenario.rs
@@ -1,6 +1,8 @@
 //! A gateway that holds requests in one stage until they are released.
 
-use crate::clients::{attempts_seen, has_name, send_idempotent_request, send_requests, wait_until_read};
+use crate::clients::{
+    attempts_seen, has_name, send_idempotent_request, send_requests, wait_until_gateway_has_read_all,
+};
 use crate::paused_gateway::DisconnectingClients;
 use crate::stubs::{
     allow_flood, gated_counter, many_endpoints_at, require_counter_calls, NO_CONNECT_TIMEOUT_MS,
@@ -14,19 +16,20 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The stage that requests are in when their clients disconnect.
+/// The stage of the requests when their clients disconnect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestStage {
-    /// Queued under the limit on what one tenant has in flight.
+    /// The request is queued because of the limit on its tenant's attempts in flight.
     AwaitingTenantSlot,
-    /// Queued under the concurrency limit.
+    /// The request is queued because of the concurrency limit.
     AwaitingConcurrencySlot,
+    /// The request waits for the reply to a counter call.
     AwaitingCounter,
-    /// Its connection to a server is coming up.
+    /// The connection to a server is being established.
     Connecting,
-    /// Sent, and about to be rejected without being executed: is retried.
+    /// An attempt was sent. The server is about to reject it without executing it, and a retry would follow.
     AwaitingRetry,
-    /// Sent, and slow: a hedged request follows.
+    /// An attempt was sent. The server does not respond, and a hedged request would follow.
     AwaitingHedge,
 }
 
@@ -39,11 +42,11 @@
     RequestStage::AwaitingHedge,
 ];
 
-/// How long an attempt holds a tenant's only slot: fifty of them go on for long after
-/// [`LATE_AFTER`](crate::paused_gateway::LATE_AFTER).
+/// How long an attempt occupies its tenant's only slot. Fifty attempts in a row take far longer than
+/// [`LATE_THRESHOLD`](crate::paused_gateway::LATE_THRESHOLD).
 const SLOT_TIME: Duration = Duration::from_millis(20);
 
-/// The server's part in a scenario.
+/// Returns the stub server's response to a request in a scenario of this stage.
 fn respond(stage: RequestStage, gate: &Gate, message: &Message) -> StubResponse {
     let is_disconnected = has_name(message, "disconnected");
     match stage {
@@ -75,7 +78,7 @@
     _slow_clients: Vec<Client>,
     _discovery: Discovery,
     _counters: Vec<Counter>,
-    _queue_fill: Vec<TcpStream>,
+    _backlog_connections: Vec<TcpStream>,
 }
 
 impl StageScenario {
@@ -106,10 +109,11 @@
         }
         let gateway = setup.start();
         prepare(stage, &gateway, &counters);
-        let slow_clients = take_slots(stage, &gateway, &server);
+        let slow_clients = occupy_slots(stage, &gateway, &server);
         let clients = send_requests_for(stage, &gateway);
-        // Answered in order: after the first all have been read, after the second what that led to has begun.
-        (0..2).for_each(|_| wait_until_read(&gateway));
+        // The gateway answers in order: after the first health check it has read all requests, and after the
+        // second it has started the actions that follow from them.
+        (0..2).for_each(|_| wait_until_gateway_has_read_all(&gateway));
         StageScenario {
             stage,
             gateway,
@@ -120,26 +124,30 @@
             _slow_clients: slow_clients,
             _discovery: discovery,
             _counters: counters,
-            _queue_fill: Vec::new(),
+            _backlog_connections: Vec::new(),
         }
     }
 
-    /// Releases the requests: what they waited for is then in the gateway's sockets, or overdue.
+    /// Releases the requests: on return, the data that they wait for is in the gateway's sockets, or the
+    /// delay of their hedged requests is over.
     pub fn release(&mut self) {
         self.gate.open();
         if let Some(unreachable) = self.unreachable.take() {
             let (stage, gate) = (self.stage, self.gate.clone());
-            let (server, fill) = unreachable.serve(move |message| respond(stage, &gate, message));
-            eventually("connections that come up", || server.connections.load(Ordering::SeqCst) > fill.len());
+            let (server, backlog_connections) =
+                unreachable.serve(move |message| respond(stage, &gate, message));
+            eventually("the gateway's connections are established", || {
+                server.connections.load(Ordering::SeqCst) > backlog_connections.len()
+            });
             self.server = server;
-            self._queue_fill = fill;
+            self._backlog_connections = backlog_connections;
         }
         if self.stage == RequestStage::AwaitingHedge {
             std::thread::sleep(Duration::from_millis(700));
         }
     }
 
-    /// Attempts at the requests that the server sees before they are released.
+    /// Number of attempts that the server sees before the requests are released.
     pub fn attempts_before_release(&self) -> usize {
         match self.stage {
             RequestStage::AwaitingRetry | RequestStage::AwaitingHedge => self.clients.len(),
@@ -153,15 +161,18 @@
     }
 }
 
-/// What has to have happened before requests can be held in this stage.
+/// Brings the gateway into a state in which it holds requests in this stage.
 fn prepare(stage: RequestStage, gateway: &GatewayProcess, counters: &[Counter]) {
     match stage {
         RequestStage::AwaitingCounter => {
-            let gated = counters.last().expect("a counter");
-            eventually("connections", || gated.connections.load(Ordering::SeqCst) >= 4);
+            let gated = counters.last().expect("the scenario has no counter");
+            eventually("the gateway has connected to the counter", || {
+                gated.connections.load(Ordering::SeqCst) >= 4
+            });
         }
         RequestStage::AwaitingHedge => {
-            // A hedged request follows after eight mean response times, which are about 0.1 s by then.
+            // A hedged request is sent after eight mean response times. These responses lower the mean to
+            // about 0.1 s.
             let mut client = gateway.client();
             (0..40).for_each(|_| assert_eq!(client.get_idempotent().status(), 200));
         }
@@ -169,16 +180,16 @@
     }
 }
 
-/// Sends slow requests that take all slots for which others then wait.
-fn take_slots(stage: RequestStage, gateway: &GatewayProcess, server: &Server) -> Vec<Client> {
+/// Sends slow requests that occupy all slots, so that later requests have to wait for one.
+fn occupy_slots(stage: RequestStage, gateway: &GatewayProcess, server: &Server) -> Vec<Client> {
     let count = match stage {
         RequestStage::AwaitingTenantSlot => 1,
-        // Eight a server, over two gateways.
+        // Ten servers have eight slots each, and two gateways share them.
         RequestStage::AwaitingConcurrencySlot => 40,
         _ => 0,
     };
     let slow_clients = send_requests(gateway, "slow", count);
-    eventually("the slots are taken", || attempts_seen(server, "slow") == count);
+    eventually("the slow requests occupy all slots", || attempts_seen(server, "slow") == count);
     slow_clients
 }
 
