--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -59,7 +59,7 @@
 }
 
 /// State of one client connection. The connection's task shares it with the modules that may close the
-/// connection: the listener, the idle reaper and the eviction.
+/// connection: `listener`, `idle_reaper` and `eviction`.
 pub struct Connection {
     stream: Rc<TcpStream>,
     unread_bytes: Rc<dyn UnreadBytes>,
--- a/src/net/client/head_counter.rs
+++ b/src/net/client/head_counter.rs
@@ -1,4 +1,4 @@
-//! Counts the request heads that have arrived on a connection and have not been answered yet.
+//! Counts the request heads that have arrived on a connection and that the handler has not received yet.
 
 /// Counts the ends of request heads (`CR LF CR LF`) among the bytes of a connection.
 ///
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -89,8 +89,8 @@
         self.handler.start_draining();
     }
 
-    /// Asks the tasks of all idle connections to close them: those without an outstanding response on which
-    /// no part of a request has arrived.
+    /// Asks the tasks of idle connections to close them: connections that are not new, have no outstanding
+    /// response and have received no part of a further request.
     pub fn close_idle(&self) {
         let now = self.event_loop.now();
         let entries = self.connections.entries();
--- a/src/net/client/quota_header.rs
+++ b/src/net/client/quota_header.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// The parsed fields of an `X-Quota` header.
+/// The fields of an `X-Quota` header that the gateway uses. The field `first` is only validated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
     /// Units that the request consumes of its tenant's quota.
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -129,7 +129,7 @@
             setup.cancellation_allowed = cancellation_allowed;
             let gateway = setup.start();
             let clients = send_requests(&gateway, "slow", client_count(kind));
-            eventually("the server receives the first attempt", || a.count() + b.count() >= 1);
+            eventually("a server receives the first attempt", || a.count() + b.count() >= 1);
             wait_until_gateway_has_read_all(&gateway);
             clients.into_iter().for_each(|client| disconnect(client, kind));
             wait_for_disconnects(&gateway, 0);
@@ -150,8 +150,8 @@
 
 /// Number of clients that disconnect at the same time.
 const FLOOD_SIZE: usize = 500;
-/// Number of late attempts that a pause of the gateway may cause: the pause can fall between the check of one
-/// client's socket and the write that follows it.
+/// Largest number of late attempts that a pause of the gateway can cause: the pause may fall between the
+/// check of one client's socket and the write that follows it.
 const MAX_LATE_ATTEMPTS: usize = 1;
 
 /// Five hundred clients send one request each and disconnect before a busy gateway reads any of them. When
@@ -168,7 +168,8 @@
     assert!(late <= MAX_LATE_ATTEMPTS, "{late} attempts started after their clients disconnected");
 }
 
-/// Numbers of attempts that the server has seen when the clients of a flood disconnect, one per test run.
+/// The clients of a flood disconnect once the server has seen this many attempts; each test runs with each
+/// number.
 const ATTEMPTS_BEFORE_DISCONNECT: [usize; 4] = [1, 60, 120, 250];
 
 /// A flood that the gateway is forwarding, together with as many other requests.
@@ -205,7 +206,7 @@
         let late = disconnecting.late_attempts_after_pause(PausedGateway::pause(&gateway));
         assert!(
             late <= MAX_LATE_ATTEMPTS,
-            "{late} attempts started after their clients disconnected at attempt {min_attempts}"
+            "{late} late attempts; the clients disconnected after at least {min_attempts} attempts"
         );
     }
 }
@@ -284,7 +285,7 @@
         let late = DisconnectingClients { gateway: &gateway, server: &server, clients }.late_attempts();
         assert!(
             late <= MAX_LATE_ATTEMPTS,
-            "{late} late attempts after disconnects at attempt {min_attempts}"
+            "{late} late attempts; the clients disconnected after at least {min_attempts} attempts"
         );
     }
 }
