--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,5 +1,5 @@
-//! Socket operations that the runtime does not offer: opens the client listener and checks whether a peer has
-//! closed its connection.
+//! Low-level socket operations: opens the client listener, and checks whether a peer has closed its
+//! connection.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io;
--- a/tests/end_to_end/upstream_responses.rs
+++ b/tests/end_to_end/upstream_responses.rs
@@ -1,53 +1,60 @@
-//! What servers respond, and the connections that they respond on.
+//! Valid and invalid responses of servers, and the reuse of connections to servers.
 
 use crate::support::*;
 use crate::{concurrent_statuses, gateway_setup, ok_response, start_gateway, REQUEST_HEAD};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// A server closes its connection after it has read a request completely, without a response. The request
-/// may have been executed, so one that is not idempotent fails with 502 and is not retried; an idempotent
-/// one is.
+/// A server reads a request completely and closes the connection without a response. The request may have
+/// been executed, so a non-idempotent request must fail with 502 without a retry; an idempotent request must
+/// be retried.
 #[test]
-fn a_reset_after_the_last_byte_is_retried_only_for_idempotent_requests() {
+fn only_idempotent_requests_are_retried_after_a_close_without_a_response() {
     let (failing, healthy) = (Server::start(|_| StubResponse::Close(Vec::new())), Server::ok());
     let (gateway, _discovery, _counter) = start_gateway(&[&failing, &healthy]);
     let statuses = concurrent_statuses(&gateway, 12);
     let failed = statuses.iter().filter(|s| **s == 502).count();
-    assert!(statuses.iter().all(|s| matches!(s, 200 | 502)), "neither served nor failed: {statuses:?}");
+    assert!(
+        statuses.iter().all(|s| matches!(s, 200 | 502)),
+        "a request was neither served nor failed: {statuses:?}"
+    );
     assert!(failing.count() > 0, "the failing server got no request");
-    assert_eq!((failing.count(), healthy.count()), (failed, 12 - failed), "one attempt each");
+    assert_eq!(
+        (failing.count(), healthy.count()),
+        (failed, 12 - failed),
+        "a request did not get exactly one attempt"
+    );
     let mut client = gateway.client();
     for _ in 0..6 {
         assert_eq!(client.get_idempotent().status(), 200);
     }
 }
 
-/// One server rejects each request unprocessed, another refuses connections. Neither has executed anything,
-/// so even requests that are not idempotent are retried elsewhere and all succeed.
+/// One server rejects each request unprocessed, another refuses connections. Neither has executed a request,
+/// so even non-idempotent requests must be retried on another server, and all must succeed.
 #[test]
-fn a_request_that_was_rejected_unprocessed_or_found_no_connection_is_retried() {
+fn a_request_is_retried_if_a_server_rejects_it_unprocessed_or_refuses_the_connection() {
     let overloaded = Server::start(|_| StubResponse::Write(answer("503 Busy", "X-Unprocessed: 1\r\n", b"")));
     let unreachable = Server::ok();
     let healthy = Server::ok();
-    // Bound but not listening: connections are refused, and no other test can get the port.
-    let refusing =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    // A socket that is bound but does not listen refuses connections, and no other test can get its port.
+    let refusing = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("the socket could not be created");
     refusing
-        .bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().expect("an address").into())
-        .expect("a port");
-    let address = refusing.local_addr().ok().and_then(|a| a.as_socket()).expect("an address");
+        .bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().expect("invalid address").into())
+        .expect("bind failed");
+    let address = refusing.local_addr().ok().and_then(|a| a.as_socket()).expect("the socket has no address");
     let unreachable = Server { address, ..unreachable };
     let (gateway, _discovery, _counter) = start_gateway(&[&overloaded, &unreachable, &healthy]);
     assert_eq!(concurrent_statuses(&gateway, 8), [200; 8]);
-    assert_eq!(healthy.count(), 8);
+    assert_eq!(healthy.count(), 8, "the healthy server did not get each request once");
     assert!(overloaded.count() > 0, "the overloaded server got no request");
 }
 
-/// A server responds with an error, or its response breaks off or is invalid. The request may have been
-/// executed, so one that is not idempotent fails with 502 after one attempt.
+/// A server responds with an error, or its response is truncated or invalid. The request may have been
+/// executed, so a non-idempotent request must fail with 502 after one attempt.
 #[test]
-fn a_plain_503_or_a_truncated_response_is_not_retried() {
+fn an_error_or_a_truncated_response_to_a_non_idempotent_request_is_not_retried() {
     let truncated = b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nonly this".to_vec();
     for bytes in
         [answer("503 Busy", "", b""), answer("500 Error", "", b"x"), truncated, b"nonsense\r\n\r\n".to_vec()]
@@ -55,22 +62,25 @@
         let server = Server::start(move |_| StubResponse::Close(bytes.clone()));
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
         assert_eq!(gateway.client().post_non_idempotent("1.9").status(), 502);
-        assert_eq!(server.count(), 1);
+        assert_eq!(server.count(), 1, "the request was retried");
     }
 }
 
-/// A server reads a request and never responds. The client gets its answer within the time that it said it
-/// waits, and the attempt's connection is closed.
+/// A server reads a request and never responds. The client must get an answer within the time that its
+/// X-Time-Left header gives, and the attempt's connection must be closed.
 #[test]
-fn a_silent_server_costs_the_client_no_more_than_its_timeout() {
+fn a_request_to_a_server_that_never_responds_is_answered_within_its_time_left() {
     let server = Server::start(|_| StubResponse::Silence);
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     let start = Instant::now();
     let status = client.post_non_idempotent("0.4").status();
     let elapsed = start.elapsed();
-    assert!(matches!(status, 502 | 504), "{status} though it may have been executed");
-    assert!(elapsed < Duration::from_millis(400), "answered after {elapsed:?}");
+    assert!(
+        matches!(status, 502 | 504),
+        "unexpected status {status} for a request that may have been executed"
+    );
+    assert!(elapsed < Duration::from_millis(400), "answered only after {elapsed:?}");
     assert!(server.closed.recv_timeout(WAIT_TIMEOUT).is_ok(), "the attempt's connection was left open");
 }
 
@@ -83,17 +93,21 @@
     let mut client = gateway.client();
     for _ in 0..5 {
         assert_eq!(client.get_idempotent().status(), 200);
-        // Longer than the reuse delay of a connection.
+        // Longer than the delay after which an idle connection may be reused.
         std::thread::sleep(Duration::from_millis(60));
     }
-    assert_eq!(server.connections.load(Ordering::SeqCst), 1, "consecutive requests share a connection");
-    let idle = server.closed.recv_timeout(WAIT_TIMEOUT).expect("a closed connection");
-    assert!(idle < Duration::from_millis(2800), "idle for {idle:?}");
+    assert_eq!(
+        server.connections.load(Ordering::SeqCst),
+        1,
+        "consecutive requests did not share one connection"
+    );
+    let idle = server.closed.recv_timeout(WAIT_TIMEOUT).expect("no connection was closed");
+    assert!(idle < Duration::from_millis(2800), "the connection was only closed after {idle:?} of idle time");
     assert_eq!(client.get_idempotent().status(), 200);
 }
 
-/// A server closes its connection right after a good response. Were the next request sent on it, it would
-/// be lost with an unknown outcome and, not being idempotent, fail.
+/// A server closes its connection right after a valid response. If the gateway sent the next request on that
+/// connection, the request would be lost with an unknown outcome and, being non-idempotent, would fail.
 #[test]
 fn a_connection_that_the_server_closed_is_not_reused() {
     let server = Server::start(|m| StubResponse::Close(ok_response(m.start.as_bytes())));
@@ -101,45 +115,49 @@
     let mut client = gateway.client();
     for _ in 0..20 {
         assert_eq!(client.post_non_idempotent("1.9").status(), 200);
-        // The close is in the gateway's socket now, whether or not its runtime has noticed.
-        server.closed.recv_timeout(WAIT_TIMEOUT).expect("a close");
+        // The close has now reached the gateway's socket, whether or not its runtime has processed it.
+        server.closed.recv_timeout(WAIT_TIMEOUT).expect("the server did not close its connection");
     }
 }
 
 /// A server sends each response twice: in the same write, or up to 50 ms later. The next request on that
-/// connection would be given the duplicate, so connections with bytes on them are not reused.
+/// connection would get the duplicate, so a connection with unread bytes must not be reused.
 #[test]
-fn a_duplicate_response_is_never_given_to_another_request() {
-    // In the same write, right behind it, and later.
-    for wait in [0, 1, 5, 50] {
+fn a_duplicate_response_is_never_returned_for_another_request() {
+    // The delay of the duplicate, ms: in the same write, right after the response, and later.
+    for delay_ms in [0, 1, 5, 50] {
         let server = Server::start(move |m| {
-            let body = m.header("x-correlation-id").expect("an id").as_bytes().to_vec();
-            StubResponse::Twice(ok_response(&body), Duration::from_millis(wait), ok_response(&body))
+            let body = m
+                .header("x-correlation-id")
+                .expect("the request has no X-Correlation-Id")
+                .as_bytes()
+                .to_vec();
+            StubResponse::Twice(ok_response(&body), Duration::from_millis(delay_ms), ok_response(&body))
         });
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
         let mut client = gateway.client();
         for n in 0..10 {
-            let id = format!("{wait:08x}{n:08x}");
+            let id = format!("{delay_ms:08x}{n:08x}");
             let request = REQUEST_HEAD.replace("a1", &id) + "\r\n";
-            let response = client.raw(request.as_bytes()).expect("a response");
+            let response = client.raw(request.as_bytes()).expect("no response");
             assert_eq!(
                 (response.status(), String::from_utf8_lossy(&response.body)),
                 (200, id.as_str().into())
             );
-            // The duplicate has been written.
-            server.wrote.recv_timeout(WAIT_TIMEOUT).expect("a duplicate");
+            // Waits until the server has written the duplicate.
+            server.wrote.recv_timeout(WAIT_TIMEOUT).expect("the server wrote no duplicate");
         }
-        assert!(server.connections.load(Ordering::SeqCst) >= 10, "a connection with bytes on it was kept");
+        assert!(server.connections.load(Ordering::SeqCst) >= 10, "a connection with unread bytes was reused");
     }
 }
 
-/// A server sends noise, contradictory or missing lengths, or more than is allowed. The attempt must fail
-/// at once instead of waiting for the rest, and the connection must not serve again. Interim responses and
-/// unknown headers are valid and do no harm.
+/// A server sends invalid bytes, contradictory or missing lengths, or more than is allowed. The attempt must
+/// fail at once instead of waiting for more bytes, and its connection must not be reused. Interim responses
+/// and unknown headers are valid and must be accepted.
 #[test]
 fn an_invalid_response_fails_at_once_and_closes_its_connection() {
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(40_000));
-    let stream =
+    let long_header = format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(40_000));
+    let large_chunked_body =
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", "8\r\nabcdefgh\r\n".repeat(9000));
     for invalid in [
         "\u{1}\u{2}noise noise\r\n\r\n",
@@ -150,8 +168,8 @@
         "HTTP/1.1 200 OK\r\n\r\nto the end",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
-        &long,
-        &stream,
+        &long_header,
+        &large_chunked_body,
     ] {
         let bytes = invalid.as_bytes().to_vec();
         let server = Server::start(move |_| StubResponse::Write(bytes.clone()));
@@ -159,26 +177,33 @@
         let start = Instant::now();
         let status = gateway.client().post_non_idempotent("1.9").status();
         let head: String = invalid.chars().take(60).collect();
-        assert_eq!((status, server.count()), (502, 1), "{head:?}");
-        assert!(start.elapsed() < Duration::from_millis(1000), "{head:?} after {:?}", start.elapsed());
-        assert!(server.closed.recv_timeout(WAIT_TIMEOUT).is_ok(), "{head:?}: its connection was kept");
+        assert_eq!((status, server.count()), (502, 1), "not failed after one attempt: {head:?}");
+        assert!(
+            start.elapsed() < Duration::from_millis(1000),
+            "{head:?} failed only after {:?}",
+            start.elapsed()
+        );
+        assert!(
+            server.closed.recv_timeout(WAIT_TIMEOUT).is_ok(),
+            "the connection stayed open after {head:?}"
+        );
     }
-    for good in ["HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n", "HTTP/1.1 100 Continue\r\n\r\n"] {
+    for interim in ["HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n", "HTTP/1.1 100 Continue\r\n\r\n"] {
         let bytes = [
-            good.as_bytes(),
+            interim.as_bytes(),
             &answer("200 OK", "X-Backend-Load: \u{1}=-7,,\r\n".replace('\u{1}', "q").as_str(), b"good"),
         ]
         .concat();
         let server = Server::start(move |_| StubResponse::Write(bytes.clone()));
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
-        assert_eq!(gateway.client().post_non_idempotent("1.9").body, b"good", "{good:?}");
+        assert_eq!(gateway.client().post_non_idempotent("1.9").body, b"good", "not served after {interim:?}");
     }
 }
 
-/// The only server spoils three responses in a row and is ejected. As it can be reached and there is no
-/// other, it must still be used.
+/// The only server sends three invalid responses in a row and is ejected. Since the server is reachable and
+/// there is no other, the gateway must still use it.
 #[test]
-fn invalid_responses_do_not_put_the_only_server_out_of_use() {
+fn the_only_server_is_still_used_after_it_was_ejected() {
     let server = Server::start(|m| match m.start.starts_with("POST") {
         true => StubResponse::Write(b"noise\r\n\r\n".to_vec()),
         false => StubResponse::Write(ok_response(b"")),
