--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -167,7 +167,7 @@
         self.subset_active = subset_size < self.index.ready() as f64;
         let max_size = if self.subset_active { subset_size.ceil() as usize } else { usize::MAX };
         let candidates = self.collect_candidates(now, request, max_size, send_rate);
-        // Each scanned server has its own draw, found by its rank, whether the server is compared or not.
+        // Each scanned server has its own draw, indexed by its rank, whether the server is compared or not.
         let mut draws = IndexedDraws::new(rng.clone());
         rng.advance(candidates.servers_scanned() as u128);
         let mut cheapest = Cheapest { cost: f64::INFINITY, server: None };
@@ -286,8 +286,8 @@
         capacity_fraction >= 1.0 || tracked.slow_start_tokens.refill(now, capacity_fraction, rate_per_server)
     }
 
-    /// Replaces `cheapest` by a candidate of lower cost. The cost follows from the candidate's response time,
-    /// its attempts in flight and the share of its capacity that it has reached in slow start.
+    /// Replaces `cheapest` by the candidate if the candidate has a lower cost. The cost follows from the
+    /// server's response time, its attempts in flight and the share of its capacity reached in slow start.
     fn update_cheapest(
         &mut self,
         now: Millis,
--- a/tests/load_balancing.rs
+++ b/tests/load_balancing.rs
@@ -1,5 +1,5 @@
-//! The selection of a server: over long random traffic, it chooses the same servers as a scan of all servers
-//! did, and the number of servers that it examines stays small.
+//! The selection of a server: over long random traffic, it chooses the same servers as the earlier selection
+//! that examined every server, and it examines few servers in a large fleet.
 
 #[path = "load_balancing/deployment.rs"]
 mod deployment;
@@ -26,7 +26,7 @@
     requests: u32,
     /// Mean time between requests, in ms.
     interval: Millis,
-    /// Mean number of requests between changes of the endpoint list.
+    /// Mean number of requests between random changes of the fleet.
     requests_per_change: u64,
     digest: u64,
 }
--- a/tests/load_balancing/random_fleet.rs
+++ b/tests/load_balancing/random_fleet.rs
@@ -62,7 +62,8 @@
     now: Millis,
     endpoints: Vec<Endpoint>,
     in_flight: Vec<InFlightAttempt>,
-    /// All attempts so far of the requests without a final answer; they number the next attempt of a request.
+    /// All attempts so far of the requests without a final answer. The attempts of a request are counted to
+    /// number its next attempt.
     unanswered: Vec<UnansweredAttempt>,
     /// Hash of the gateway's actions.
     pub digest: u64,
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -7,7 +7,7 @@
 use rate_limiting_gateway::ids::{ServerId, TenantId};
 use rate_limiting_gateway::settings::Settings;
 
-/// A gateway of a large fleet that enforces no quota shared through the counter.
+/// A gateway of a large fleet that has no counter and is not limited by its quota.
 fn gateway_of_large_fleet(seed: u64, servers: u32) -> Rig {
     let settings = Settings { counter_enabled: false, ..large_fleet_settings(1000.0, 3000.0) };
     Rig::with_complete_list(settings, seed, servers)
@@ -112,8 +112,8 @@
     }
 }
 
-/// Regression test for a day with a failing server: each gateway sent it a request only every few seconds, so
-/// three consecutive failures took long to come together.
+/// Regression test for a day with a failing server: each gateway sent the server a request only every few
+/// seconds, so it took long until a gateway had seen three failures.
 #[test]
 fn a_hundred_gateways_together_send_few_requests_to_failing_servers() {
     let mut failed = 0;
@@ -128,6 +128,6 @@
             rig.end_attempt(now + 10.0, id, server, if failing { Outcome::Error } else { Outcome::Ok });
         }
     }
-    // Six of the 60 servers fail, so the subset of eight servers of a gateway contains about one of them.
+    // Six of the 60 servers fail, so a gateway's subset of eight servers contains about one failing server.
     assert!(failed <= 200, "{failed} of 5000 requests went to a failing server, 200 at most");
 }
--- a/tests/slow_start/event.rs
+++ b/tests/slow_start/event.rs
@@ -14,9 +14,9 @@
     Notified { gateway: usize },
     /// An attempt ends. The event has no effect if the attempt has already ended.
     AttemptEnded { number: u64, outcome: Outcome },
-    /// The servers that start at [`FleetEvent::ServersStart`] go down.
+    /// The starting servers go down before their start.
     ServersStop,
-    /// The starting servers start.
+    /// The starting servers come up.
     ServersStart,
 }
 
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -185,7 +185,8 @@
         RequestKey { gateway, incarnation: self.incarnations[gateway], id }
     }
 
-    /// Takes the starting servers down and resets their connections. New servers have none yet.
+    /// Takes the starting servers down and resets their connections. Servers that are new to the endpoint
+    /// list have no connections yet.
     fn stop_servers(&mut self, now: Millis) {
         if self.world.known_before {
             self.phase = ServerPhase::Down;
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Starts the starting servers and, depending on the world, restarts all gateways.
+    /// Brings the starting servers up and, depending on the world, restarts all gateways.
     fn start_servers(&mut self, now: Millis) {
         self.phase = ServerPhase::Started;
         for server in &mut self.servers[..self.world.starting] {
--- a/tests/slow_start/report.rs
+++ b/tests/slow_start/report.rs
@@ -52,8 +52,8 @@
 }
 
 impl SlowStartReport {
-    /// Evaluates a starting server over the windows that end with each request that it received. Windows with
-    /// many requests from gateways that could not know of the start do not count.
+    /// Evaluates a starting server over the windows that end with each request that it received. Only windows
+    /// count in which most requests came from gateways that had been notified of the start.
     pub fn add_windows(&mut self, world: &World, server: &SimulatedServer, capacity: CapacityAt) {
         let mut load = WindowLoad::default();
         let mut first = 0;
