--- a/tests/quota_accuracy/world.rs
+++ b/tests/quota_accuracy/scenario.rs
@@ -1,4 +1,5 @@
-//! A deployment, the traffic of its tenants and what befalls it, and the requests that follow from these.
+//! A simulated scenario: a deployment, the traffic of its tenants and the faults that occur, and the requests
+//! that result from them.
 
 use crate::simulation::SeededRng;
 use rate_limiting_gateway::ids::Millis;
@@ -7,15 +8,16 @@
 
 /// Length of a simulation, ms.
 pub const DURATION: Millis = 30_000.0;
-/// A tenant's gateways are this far from those of the tenant before.
+/// Distance between the first gateways of two consecutive tenants.
 const GATEWAY_STRIDE: usize = 37;
-/// Factor of the traffic during a surge.
-const SURGE: f64 = 3.0;
-/// A tenant's traffic comes in spikes of `SPIKE_TIME` ms between stretches of `USUAL_TIME` ms.
-const SPIKE_TIME: Range<Millis> = 1300.0..5000.0;
-const USUAL_TIME: Range<Millis> = 8700.0..20_000.0;
-
-/// A plan, and what a request beyond its quota earns and costs, as shares of the request's value.
+/// Factor by which traffic increases during a surge.
+const SURGE_FACTOR: f64 = 3.0;
+/// Range of the duration of a tenant's traffic spikes, ms.
+const SPIKE_DURATION: Range<Millis> = 1300.0..5000.0;
+/// Range of the time between two traffic spikes of a tenant, ms.
+const TIME_BETWEEN_SPIKES: Range<Millis> = 8700.0..20_000.0;
+
+/// A plan, and the value and the penalty of a request beyond its quota, as shares of the request's value.
 #[derive(Clone)]
 pub struct PricedPlan {
     pub plan: Plan,
@@ -30,41 +32,42 @@
     }
 }
 
-/// A deployment's traffic and its counter.
-pub struct World {
+/// A deployment, its traffic, its counter and its faults.
+pub struct Scenario {
     pub gateways: usize,
     pub plans: Vec<PricedPlan>,
-    /// Tenants of each plan.
+    /// Number of tenants of each plan.
     pub tenants: Vec<usize>,
-    /// Calls that the counter executes in a second.
+    /// Number of calls that the counter can execute per second.
     pub counter_calls_per_second: f64,
-    /// The least that a counter call takes, ms.
+    /// Shortest latency of a counter call, ms.
     pub counter_latency: Millis,
-    /// The settings' time-out of a counter call, ms.
+    /// [`Settings::counter_timeout`], ms.
     pub counter_timeout: Millis,
-    /// The counter answers nothing in this span, ms.
+    /// Time during which the counter does not answer, ms.
     pub counter_outage: Range<Millis>,
-    /// Three times the traffic comes in this span, ms.
+    /// Time during which the traffic is [`SURGE_FACTOR`] times as high, ms.
     pub surge: Range<Millis>,
-    /// When seven in ten gateways restart, ms; none: never.
+    /// Time at which seven of ten gateways restart, ms; `None` if no gateway restarts.
     pub restart_at: Option<Millis>,
     pub seed: u64,
 }
 
-/// A request that comes in at a gateway.
+/// A request that arrives at a gateway.
 pub struct Arrival {
     pub at: Millis,
     pub tenant: usize,
     pub gateway: usize,
 }
 
-impl World {
+impl Scenario {
     /// The index of each tenant's plan.
     pub fn plan_indices(&self) -> Vec<usize> {
         self.tenants.iter().enumerate().flat_map(|(plan, tenants)| vec![plan; *tenants]).collect()
     }
 
-    /// Gateways through which a plan's tenants come in: all, or as many as can share a ceiling.
+    /// Number of gateways that receive the requests of one tenant of a plan: all gateways, or fewer if the
+    /// plan has a ceiling, so that each gateway's part of the ceiling's burst is at least 2 units.
     pub fn gateways_of_plan(&self, plan: usize) -> f64 {
         let plan = &self.plans[plan].plan;
         let max = if plan.ceiling_rate > 0.0 { plan.ceiling_burst / 2.0 } else { f64::INFINITY };
@@ -91,7 +94,7 @@
         }
     }
 
-    /// The requests of all tenants in the order in which they come in.
+    /// The requests of all tenants in the order of their arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
         let mut rng = SeededRng::new(self.seed);
         let mut arrivals = Vec::new();
@@ -103,85 +106,89 @@
     }
 }
 
-/// A tenant's demand as a multiple of its quota: usually, and in spikes, as a multiple of the usual demand.
+/// A tenant's demand.
 struct DemandProfile {
-    usual: f64,
+    /// Demand outside spikes, as a multiple of the quota's rate.
+    normal: f64,
+    /// Demand in spikes, as a multiple of the quota's rate; 1 if the tenant has no spikes.
     spike: f64,
 }
 
 impl DemandProfile {
-    /// Most use a part of their quota, some nearly all, some far more all the time or in spikes.
+    /// Draws a profile. Most tenants use a part of their quota, some nearly all of it, and some exceed it
+    /// by far, permanently or in spikes.
     fn draw(rng: &mut SeededRng) -> Self {
         match rng.uniform() {
-            kind if kind < 0.12 => DemandProfile { usual: rng.between(0.85, 1.0), spike: 1.0 },
-            kind if kind < 0.22 => DemandProfile { usual: rng.between(1.5, 4.0), spike: 1.0 },
+            kind if kind < 0.12 => DemandProfile { normal: rng.between(0.85, 1.0), spike: 1.0 },
+            kind if kind < 0.22 => DemandProfile { normal: rng.between(1.5, 4.0), spike: 1.0 },
             kind if kind < 0.4 => {
-                DemandProfile { usual: rng.between(0.26, 0.47), spike: rng.between(2.1, 7.7) }
+                DemandProfile { normal: rng.between(0.26, 0.47), spike: rng.between(2.1, 7.7) }
             }
-            _ => DemandProfile { usual: rng.between(0.26, 0.47), spike: 1.0 },
+            _ => DemandProfile { normal: rng.between(0.26, 0.47), spike: 1.0 },
         }
     }
 }
 
 /// The traffic of one tenant.
 struct TenantTraffic<'a> {
-    world: &'a World,
+    scenario: &'a Scenario,
     tenant: usize,
-    /// Rate of its quota, requests a second.
+    /// Rate of the tenant's quota, requests per second.
     rate: f64,
     gateways: f64,
     first_gateway: usize,
     profile: DemandProfile,
     in_spike: bool,
-    /// When a spike begins or ends, and the busiest gateway changes, ms.
-    next_change: Millis,
-    /// Position of the busiest gateway among the tenant's, 0 to 1.
+    /// Time at which the next spike begins or ends and the busiest gateway changes, ms.
+    next_demand_change: Millis,
+    /// Position of the busiest gateway among the tenant's gateways, 0 to 1.
     busiest_gateway: f64,
 }
 
 impl<'a> TenantTraffic<'a> {
-    fn new(world: &'a World, tenant: usize, plan: usize, rng: &mut SeededRng) -> Self {
-        let gateways = world.gateways_of_plan(plan);
-        let shares_gateways = gateways < world.gateways as f64;
+    fn new(scenario: &'a Scenario, tenant: usize, plan: usize, rng: &mut SeededRng) -> Self {
+        let gateways = scenario.gateways_of_plan(plan);
+        let shares_gateways = gateways < scenario.gateways as f64;
         TenantTraffic {
-            world,
+            scenario,
             tenant,
-            rate: world.plans[plan].plan.rate,
+            rate: scenario.plans[plan].plan.rate,
             gateways,
             first_gateway: if shares_gateways { tenant * GATEWAY_STRIDE } else { 0 },
             profile: DemandProfile::draw(rng),
             in_spike: false,
-            next_change: 0.0,
+            next_demand_change: 0.0,
             busiest_gateway: 0.0,
         }
     }
 
     fn add_arrivals(&mut self, rng: &mut SeededRng, arrivals: &mut Vec<Arrival>) {
         let mut at = rng.interarrival(self.rate);
-        self.next_change = rng.between(0.0, USUAL_TIME.end);
+        self.next_demand_change = rng.between(0.0, TIME_BETWEEN_SPIKES.end);
         self.busiest_gateway = rng.uniform();
         while at < DURATION {
-            if at > self.next_change {
-                self.change(at, rng);
+            if at > self.next_demand_change {
+                self.change_demand(at, rng);
             }
             arrivals.push(Arrival { at, tenant: self.tenant, gateway: self.draw_gateway(rng) });
-            let surge = if self.world.surge.contains(&at) { SURGE } else { 1.0 };
-            let demand = if self.in_spike { self.profile.spike } else { self.profile.usual };
+            let surge = if self.scenario.surge.contains(&at) { SURGE_FACTOR } else { 1.0 };
+            let demand = if self.in_spike { self.profile.spike } else { self.profile.normal };
             at += rng.interarrival(self.rate * surge * demand);
         }
     }
 
-    fn change(&mut self, now: Millis, rng: &mut SeededRng) {
+    fn change_demand(&mut self, now: Millis, rng: &mut SeededRng) {
         self.in_spike = !self.in_spike && self.profile.spike > 1.0;
-        let span = if self.in_spike { SPIKE_TIME } else { USUAL_TIME };
-        self.next_change = now + rng.between(span.start, span.end);
+        let span = if self.in_spike { SPIKE_DURATION } else { TIME_BETWEEN_SPIKES };
+        self.next_demand_change = now + rng.between(span.start, span.end);
         self.busiest_gateway = rng.uniform();
     }
 
-    /// Uneven: the gateways next to the busiest get several times the mean.
+    /// Draws the gateway of a request. The distribution is uneven: the gateways next to the busiest one
+    /// receive several times the mean number of requests.
     fn draw_gateway(&self, rng: &mut SeededRng) -> usize {
         let distance = rng.uniform().powi(2);
         let position = ((self.busiest_gateway + distance) * self.gateways) as usize % self.gateways as usize;
-        (self.first_gateway + position) % self.world.gateways
+        (self.first_gateway + position) % self.scenario.gateways
     }
 }
