--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -21,11 +21,11 @@
 /// Time after [`SYNC_INTERVAL`] at which unsent units are sent to the counter even if they are fewer than a
 /// batch, ms. Both times grow with the backoff factor.
 const FLUSH_INTERVAL: Millis = 1000.0;
-/// Size of a batch that is worth a counter call, as a share of the burst. The size keeps calls rare, but the
-/// shared window recent enough to be useful.
+/// Size of a batch that is worth a counter call, as a share of the burst. This size keeps calls rare and
+/// still keeps the shared window recent enough to be useful.
 const SYNC_BATCH_SHARE: f64 = 0.1;
-/// Upper bound of the factor by which the backoff enlarges a batch, so that a gateway never holds back unsent
-/// units of much of the burst.
+/// Upper bound of the factor by which the backoff enlarges a batch and the interval between batches, so that
+/// the unsent units of a gateway never amount to much of the burst.
 const MAX_BATCH_FACTOR: f64 = 4.0;
 /// Reduction of the backoff factor's exponent for a tenant at its quota. Such a tenant backs off less because
 /// stale usage costs most there.
@@ -76,7 +76,7 @@
     not_forwarded: CounterSync,
     last_sync: Millis,
     cached_rejection_probability: Option<CachedRejectionProbability>,
-    /// Units that the tenant's token bucket lacks to be full.
+    /// Units missing from the tenant's token bucket until it is full.
     bucket_deficit: f64,
     /// The first call to the counter has ended, with or without a reply.
     first_read_done: bool,
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -97,9 +97,9 @@
             in_flight.quota_check.observed_usage = Some(usage_with_request);
             return;
         }
-        let probability = usage.call_probability(backoff_factor);
-        if roll < probability {
-            let (reservation, add) = usage.begin_reservation(now, tenant, units, probability);
+        let call_probability = usage.call_probability(backoff_factor);
+        if roll < call_probability {
+            let (reservation, add) = usage.begin_reservation(now, tenant, units, call_probability);
             in_flight.quota_check.reservation = Some(reservation);
             in_flight.quota_check.awaiting_counter = true;
             self.call_counter_for_low_traffic(tenant, reservation.key, add, Some(in_flight.request.id));
@@ -119,9 +119,9 @@
         let backoff_factor = self.counter_health.backoff_factor();
         let Some(usage) = self.low_traffic_usage(tenant) else { return };
         let released = usage.units_to_release(now, reservation, units);
-        let probability = usage.call_probability(backoff_factor);
-        if uniform(&mut self.rng) < probability && self.counter_health.allows_call(now) {
-            self.call_counter_for_low_traffic(tenant, reservation.key, -released / probability, None);
+        let call_probability = usage.call_probability(backoff_factor);
+        if uniform(&mut self.rng) < call_probability && self.counter_health.allows_call(now) {
+            self.call_counter_for_low_traffic(tenant, reservation.key, -released / call_probability, None);
         }
     }
 
--- a/src/policy/counter_sync.rs
+++ b/src/policy/counter_sync.rs
@@ -133,8 +133,8 @@
         RemoteUnits { units: rise - arrived, since }
     }
 
-    /// Records that the call ended without a reply. `may_have_arrived` says whether the counter may still have
-    /// added the call's units.
+    /// Records that the call ended without a reply. `may_have_arrived` says whether the counter may still
+    /// have added the call's units.
     pub(super) fn record_failure(&mut self, may_have_arrived: bool) {
         let sent = self.awaiting_reply.take().unwrap_or(0.0);
         if may_have_arrived {
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -7,8 +7,8 @@
 //! refilled since then, are the usage in the sliding window. One call makes a reservation for a request and
 //! reads this usage, and the usage decides whether the request is admitted. If the request is not forwarded,
 //! its reservation is released. While the counter is congested, only some requests, chosen at random, make a
-//! call, and each call reserves units for the other requests too. A request without a call is rejected with a
-//! probability equal to the tenant's recent rejection ratio.
+//! call, and each call reserves units for the other requests too. A request for which there is neither a call
+//! nor a recent read is rejected with a probability equal to the tenant's recent rejection ratio.
 //!
 //! This prevents gateways that each estimate a rate from all admitting the same excess units, or all
 //! rejecting requests for the same unused units. It also works with skewed traffic, spikes, and restarts that
@@ -129,16 +129,17 @@
     // ---- Calls --------------------------------------------------------------------------------
 
     /// Begins a reservation for a request of `units`. The reservation also covers the requests that make no
-    /// call while calls are made with probability `probability`. Returns the reservation, and the units to
-    /// add to the counter for the reservation and all unsent units.
+    /// call; `call_probability` is the share of requests that make one. Returns the reservation, and the
+    /// units to add to the counter for the reservation and all unsent units.
     pub(super) fn begin_reservation(
         &mut self,
         now: Millis,
         tenant: TenantId,
         units: f64,
-        probability: f64,
+        call_probability: f64,
     ) -> (Reservation, f64) {
-        let reservation = Reservation { key: self.current_key(tenant, now).key, units: units / probability };
+        let reservation =
+            Reservation { key: self.current_key(tenant, now).key, units: units / call_probability };
         (reservation, reservation.units + std::mem::take(&mut self.unsent))
     }
 
--- a/tests/quota_accuracy.rs
+++ b/tests/quota_accuracy.rs
@@ -25,7 +25,7 @@
     /// Numbers of counter calls in each second.
     calls: Vec<CallCounts>,
     /// Requests rejected while at least half of their quota was unused, as a share of all requests.
-    rejected_with_capacity: f64,
+    rejected_with_unused_quota: f64,
     requests_per_second: f64,
 }
 
@@ -38,7 +38,7 @@
         fleet: accounting.score(&ideal),
         delayed: delayed_policy(scenario, &arrivals).score(&ideal),
         calls,
-        rejected_with_capacity: accounting.rejected_with_capacity(arrivals.len()),
+        rejected_with_unused_quota: accounting.rejected_with_unused_quota(arrivals.len()),
         requests_per_second: arrivals.len() as f64 * 1000.0 / DURATION,
     }
 }
@@ -99,13 +99,13 @@
 /// Simulates a scenario with two seeds, and checks the bounds for each.
 fn assert_accuracy(name: &str, scenario: impl Fn(u64) -> Scenario, bounds: AccuracyBounds) {
     for seed in [1, 2] {
-        let Comparison { fleet, delayed, calls, rejected_with_capacity, requests_per_second } =
+        let Comparison { fleet, delayed, calls, rejected_with_unused_quota, requests_per_second } =
             compare(&scenario(seed));
         let extra_cost = fleet.overage_cost - delayed.overage_cost;
         let calls_per_second = calls.iter().map(|calls| calls.made).sum::<usize>() as f64 * 1000.0 / DURATION;
         println!(
-            "{name}, seed {seed}: {rejected_with_capacity:.3} of the requests rejected with half of their \
-             quota unused"
+            "{name}, seed {seed}: {rejected_with_unused_quota:.3} of the requests rejected with half of \
+             their quota unused"
         );
         println!(
             "{name}, seed {seed}: {extra_cost:+.3} overage cost, {fleet:?} compared with {delayed:?}; \
@@ -170,7 +170,7 @@
     assert_accuracy("counter unresponsive for 6 s of 30", unresponsive, bounds);
 }
 
-/// Bounds on the use of the counter, starting at one second of the simulation.
+/// Bounds on the use of the counter from `from_second` to the end of the simulation.
 struct CounterBounds {
     from_second: usize,
     /// Lower bound of the share of the counter's capacity that is used.
@@ -180,7 +180,7 @@
 }
 
 fn assert_counter_use(name: &str, scenario: &Scenario, bounds: CounterBounds) {
-    let Comparison { fleet, delayed, mut calls, rejected_with_capacity, .. } = compare(scenario);
+    let Comparison { fleet, delayed, mut calls, rejected_with_unused_quota, .. } = compare(scenario);
     let from = bounds.from_second;
     calls.truncate((DURATION / 1000.0) as usize);
     let sum = |count: fn(&CallCounts) -> usize| calls[from..].iter().map(count).sum::<usize>() as f64;
@@ -194,7 +194,7 @@
     );
     println!(
         "{name}: {extra_cost:+.3} overage cost, {within_quota:.3} within quota, \
-         {rejected_with_capacity:.3} of the requests rejected with half of their quota unused"
+         {rejected_with_unused_quota:.3} of the requests rejected with half of their quota unused"
     );
     assert!(used >= bounds.min_used, "{name}: only {used:.2} of the counter's capacity was used");
     assert!(lost <= bounds.max_lost, "{name}: {lost:.3} of the calls were rejected or timed out");
--- a/tests/quota_accuracy/fleet.rs
+++ b/tests/quota_accuracy/fleet.rs
@@ -16,7 +16,7 @@
 const TIME_LEFT: Millis = 1500.0;
 /// Number of the counter's partitions.
 const COUNTER_PARTITIONS: usize = 2;
-/// Time in which the counter rejects a call, ms.
+/// Latency of a counter call that is rejected, ms.
 const REJECTION_LATENCY: Millis = 1.0;
 /// The counter rejects a call that would wait in its queue longer than this multiple of the counter time-out.
 const COUNTER_QUEUE_TIMEOUTS: f64 = 3.0;
--- a/tests/quota_accuracy/quota_accounting.rs
+++ b/tests/quota_accuracy/quota_accounting.rs
@@ -49,11 +49,11 @@
     within_quota: f64,
     overage_cost: f64,
     /// Requests rejected while at least half of their quota was unused.
-    rejected_with_capacity: usize,
+    rejected_with_unused_quota: usize,
 }
 
 impl<'a> QuotaAccounting<'a> {
-    /// An accounting without requests; every token bucket is full.
+    /// A new accounting, in which every token bucket is full.
     pub fn new(scenario: &'a Scenario) -> Self {
         let plan_indices = scenario.plan_indices();
         let full =
@@ -64,7 +64,7 @@
             plan_indices,
             within_quota: 0.0,
             overage_cost: 0.0,
-            rejected_with_capacity: 0,
+            rejected_with_unused_quota: 0,
         }
     }
 
@@ -96,7 +96,7 @@
         let plan = self.plan_of(tenant);
         let bucket = &mut self.buckets[tenant];
         bucket.refill(&plan.plan, now);
-        self.rejected_with_capacity += usize::from(bucket.tokens >= plan.plan.burst / 2.0);
+        self.rejected_with_unused_quota += usize::from(bucket.tokens >= plan.plan.burst / 2.0);
     }
 
     /// The score of the policy, relative to the ideal policy.
@@ -108,8 +108,8 @@
     }
 
     /// Requests rejected while at least half of their quota was unused, as a share of `requests`.
-    pub fn rejected_with_capacity(&self, requests: usize) -> f64 {
-        self.rejected_with_capacity as f64 / requests as f64
+    pub fn rejected_with_unused_quota(&self, requests: usize) -> f64 {
+        self.rejected_with_unused_quota as f64 / requests as f64
     }
 }
 
--- a/tests/quota_accuracy/scenario.rs
+++ b/tests/quota_accuracy/scenario.rs
@@ -14,7 +14,8 @@
 const SURGE_FACTOR: f64 = 3.0;
 /// Range of the duration of a tenant's traffic spikes, ms.
 const SPIKE_DURATION: Range<Millis> = 1300.0..5000.0;
-/// Range of the time between two traffic spikes of a tenant, ms.
+/// Range of the time between two traffic spikes of a tenant, ms. For a tenant without spikes, the range of
+/// the time between two changes of its busiest gateway.
 const TIME_BETWEEN_SPIKES: Range<Millis> = 8700.0..20_000.0;
 
 /// A plan, and the value and the penalty of a request beyond its quota, as shares of the request's value.
@@ -148,13 +149,13 @@
 impl<'a> TenantTraffic<'a> {
     fn new(scenario: &'a Scenario, tenant: usize, plan: usize, rng: &mut SeededRng) -> Self {
         let gateways = scenario.gateways_of_plan(plan);
-        let shares_gateways = gateways < scenario.gateways as f64;
+        let uses_subset = gateways < scenario.gateways as f64;
         TenantTraffic {
             scenario,
             tenant,
             rate: scenario.plans[plan].plan.rate,
             gateways,
-            first_gateway: if shares_gateways { tenant * GATEWAY_STRIDE } else { 0 },
+            first_gateway: if uses_subset { tenant * GATEWAY_STRIDE } else { 0 },
             profile: DemandProfile::draw(rng),
             in_spike: false,
             next_demand_change: 0.0,
