--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -91,7 +91,7 @@
             self.client_disconnected(id);
             return Err(Outcome::NotSent);
         }
-        // A draining server counts as unreachable.
+        // An attempt to a draining server ends as if the server were unreachable.
         if self.accepts_requests(server) {
             Ok(())
         } else {
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -58,7 +58,7 @@
     event_loop: Rc<EventLoop>,
     clients: Rc<ClientListener>,
     discovery: WatcherHandle<SocketAddr>,
-    /// The longest deadline of a class, ms.
+    /// The longest deadline of any request class, ms.
     max_deadline: Millis,
 }
 
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -23,7 +23,7 @@
 /// connection that waits to be accepted at the first poll has been accepted by the second.
 const IDLE_POLLS: u32 = 2;
 
-/// When the phases of a shutdown end.
+/// The times at which the phases of a shutdown end.
 pub struct ShutdownSchedule {
     /// No idle connection is closed before this time.
     close_idle_at: Instant,
--- a/tests/end_to_end/endpoint_watch.rs
+++ b/tests/end_to_end/endpoint_watch.rs
@@ -31,20 +31,20 @@
     assert_eq!(concurrent_statuses(&gateway, 12), [200; 12]);
     discovery.write(&event(3, true, &[entry(0, &a, "Terminating"), entry(2, &c, "Ready")]));
     assert_idle_connection_closed(&b);
-    let count_at_removal = b.count();
+    let b_count_at_removal = b.count();
     assert_eq!(concurrent_statuses(&gateway, 12), [200; 12]);
     assert_eq!(
         (a.count(), b.count()),
-        (count_at_drain, count_at_removal),
+        (count_at_drain, b_count_at_removal),
         "a draining or removed server got a request"
     );
     discovery.write(&event(4, false, &[entry(2, &c, "Gone"), entry(0, &a, "Ready")]));
     assert_idle_connection_closed(&c);
-    let count_at_removal = c.count();
+    let c_count_at_removal = c.count();
     assert_eq!(client.get_idempotent().status(), 200);
     assert_eq!(
         (a.count(), c.count()),
-        (count_at_drain + 1, count_at_removal),
+        (count_at_drain + 1, c_count_at_removal),
         "the request did not go to the ready server"
     );
 }
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -6,7 +6,7 @@
 mod counter_service;
 mod endpoint_watch;
 mod lifecycle;
-#[allow(dead_code)] // each test program uses its own part
+#[allow(dead_code)] // each test program uses only some of the helpers
 #[path = "../support/mod.rs"]
 mod support;
 mod upstream_responses;
