--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -72,7 +72,7 @@
     candidates.sort_unstable_by(|a, b| a.priority.compare(&b.priority));
     // The search stops at the first match, because each check for unread bytes is a system call and a flood
     // of new connections runs this code for each of them.
-    let Some(evicted) = candidates.into_iter().find(|candidate| can_evict_without_loss(candidate.connection))
+    let Some(evicted) = candidates.into_iter().find(|candidate| has_no_unread_request(candidate.connection))
     else {
         return false;
     };
@@ -85,8 +85,8 @@
     true
 }
 
-/// Whether no request would be lost. A closing connection reads no more requests; on any other connection,
+/// Whether no request waits to be read. A closing connection reads no more requests; on any other connection,
 /// unread bytes may be a request that the runtime has not read yet.
-fn can_evict_without_loss(connection: &Connection) -> bool {
+fn has_no_unread_request(connection: &Connection) -> bool {
     connection.phase() == Phase::Closing || !connection.has_unread_bytes()
 }
