--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Waits until one more connection may be opened, and meanwhile evicts open connections that the `eviction`
-    /// module allows to close.
+    /// Waits until one more connection may be opened, and meanwhile evicts open connections that the
+    /// `eviction` module allows to close.
     async fn wait_until_below_limit(&self) {
         while self.connections.count() >= self.max_connections {
             let evicted = self.evict_one();
