--- a/tests/quota_accuracy/fleet.rs
+++ b/tests/quota_accuracy/fleet.rs
@@ -38,7 +38,7 @@
 /// fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FleetEvent {
-    Timer { gateway: usize, generation: u32 },
+    Timer { gateway: usize, incarnation: u32 },
     CounterReplied { call: u64 },
     AttemptEnded { gateway: usize, id: RequestId },
 }
@@ -52,7 +52,7 @@
 /// A counter call in flight.
 struct PendingCall {
     gateway: usize,
-    generation: u32,
+    incarnation: u32,
     since: Millis,
     key: CounterKey,
     outcome: Outcome,
@@ -102,8 +102,8 @@
     /// Time-out of the gateways' counter calls, ms.
     call_timeout: Millis,
     gateways: Vec<Gateway>,
-    /// Number of restarts of each gateway. Timers and counter replies of an earlier generation are dropped.
-    generations: Vec<u32>,
+    /// Number of restarts of each gateway. Timers and counter replies of an earlier incarnation are dropped.
+    incarnations: Vec<u32>,
     restart_at: Option<Millis>,
     counter: CounterStub,
     pending_calls: HashMap<u64, PendingCall>,
@@ -132,7 +132,7 @@
             call_timeout: counter_call_timeout(&settings),
             gateways: (0..scenario.gateways).map(gateway).collect(),
             settings,
-            generations: vec![0; scenario.gateways],
+            incarnations: vec![0; scenario.gateways],
             restart_at: scenario.restart_at,
             counter: CounterStub::new(COUNTER_PARTITIONS, calls_per_second, max_queueing),
             pending_calls: HashMap::new(),
@@ -172,7 +172,7 @@
         for gateway in (0..self.scenario.gateways).filter(|gateway| gateway % 10 < RESTARTED_IN_TEN) {
             let seed = !self.scenario.seed ^ gateway as u64;
             self.gateways[gateway] = Gateway::new(self.settings.clone(), seed);
-            self.generations[gateway] += 1;
+            self.incarnations[gateway] += 1;
             self.send_endpoint_list(gateway);
         }
     }
@@ -223,8 +223,8 @@
 
     fn gateway_event(&mut self, event: FleetEvent) -> Option<GatewayEvent> {
         match event {
-            FleetEvent::Timer { gateway, generation } => {
-                let current = generation == self.generations[gateway];
+            FleetEvent::Timer { gateway, incarnation } => {
+                let current = incarnation == self.incarnations[gateway];
                 current.then_some(GatewayEvent { gateway, event: Event::Timer(0) })
             }
             FleetEvent::CounterReplied { call } => {
@@ -232,7 +232,7 @@
                 let PendingCall { gateway, key, outcome, total, .. } = call;
                 let elapsed = self.now - call.since;
                 let event = Event::CounterReplied { key, outcome, elapsed, total };
-                let current = call.generation == self.generations[gateway];
+                let current = call.incarnation == self.incarnations[gateway];
                 current.then_some(GatewayEvent { gateway, event })
             }
             FleetEvent::AttemptEnded { gateway, id } => {
@@ -257,8 +257,8 @@
             Action::Reject { id, .. } => self.accounting.record_rejected(self.tenant_of(id), self.now),
             Action::IncrementCounter { key, add, .. } => self.call_counter(gateway, key, add),
             Action::Timer { after, .. } => {
-                let generation = self.generations[gateway];
-                self.queue.schedule(self.now + after, FleetEvent::Timer { gateway, generation });
+                let incarnation = self.incarnations[gateway];
+                self.queue.schedule(self.now + after, FleetEvent::Timer { gateway, incarnation });
             }
             _ => {}
         }
@@ -278,8 +278,8 @@
             _ => self.current_calls.timed_out += 1,
         }
         self.next_call += 1;
-        let generation = self.generations[gateway];
-        let call = PendingCall { gateway, generation, since: self.now, key, outcome, total };
+        let incarnation = self.incarnations[gateway];
+        let call = PendingCall { gateway, incarnation, since: self.now, key, outcome, total };
         self.pending_calls.insert(self.next_call, call);
         self.queue.schedule(at, FleetEvent::CounterReplied { call: self.next_call });
     }
