--- a/capacity/src/deployment.rs
+++ b/capacity/src/deployment.rs
@@ -1,29 +1,29 @@
-//! A synthetic deployment of any size: its settings, servers, tenants and traffic.
+//! A synthetic deployment of configurable size: its settings, servers, tenants and traffic.
 
 use crate::simulation::SeededRng;
 use rate_limiting_gateway::event::{Endpoint, EndpointState, Request};
 use rate_limiting_gateway::ids::{CounterKey, Millis, PlanId, RequestId, ServerId, TenantId};
 use rate_limiting_gateway::settings::{Class, Plan, Settings};
 
-/// Sizes of a deployment.
+/// Size and traffic of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Servers, all in one endpoint list.
+    /// Number of servers. All of them are in one endpoint list.
     pub servers: usize,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Requests a second over all gateways.
+    /// Requests per second over all gateways.
     pub rate: f64,
-    /// Gateways through which one tenant's requests come in; 0: all of them.
+    /// Number of gateways that receive one tenant's requests; 0 means all gateways.
     pub gateways_per_tenant: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
 }
 
 impl Default for Deployment {
-    /// The operators' plan for two years.
+    /// The fleet size and traffic that the operators plan for in two years.
     fn default() -> Self {
         Deployment {
             gateways: 530,
@@ -36,23 +36,25 @@
     }
 }
 
-/// Rate of the smallest plan, units a second; each next plan has four times as much.
+/// Rate of the smallest plan, units per second.
 const MIN_PLAN_RATE: f64 = 1.0;
+/// Ratio of a plan's rate to the rate of the next smaller plan.
 const PLAN_RATE_FACTOR: f64 = 4.0;
-const PLANS: usize = 9;
-/// A plan's burst is what its rate yields in this time, s.
+const PLAN_COUNT: usize = 9;
+/// Time in which a plan's rate adds up to its burst, s.
 const BURST_SECONDS: f64 = 2.0;
-/// One tenant in so many exceeds its quota.
+/// Tenants whose rank by traffic is a multiple of this number exceed their quota.
 const OVER_QUOTA_STRIDE: usize = 10;
 const LATENCY_OBJECTIVE: Millis = 500.0;
 const DEADLINE: Millis = 1500.0;
-/// Servers of one cell.
+/// Number of servers in a cell.
 const CELL_SIZE: usize = 8;
-/// Tenant ids and home gateways step by this prime, so that neighbours in size are spread out.
+/// Step between the ids of tenants with consecutive ranks, and between their first gateways. It is a prime, so
+/// that tenants with similar traffic use different gateways.
 const TENANT_STRIDE: usize = 7919;
 
 impl Deployment {
-    /// Gateways through which one tenant's requests come in.
+    /// Number of gateways that receive one tenant's requests.
     pub fn gateways_per_tenant(&self) -> usize {
         if self.gateways_per_tenant == 0 {
             self.gateways
@@ -61,12 +63,12 @@
         }
     }
 
-    /// Requests a second at one gateway.
+    /// Requests per second at one gateway.
     pub fn rate_per_gateway(&self) -> f64 {
         self.rate / self.gateways as f64
     }
 
-    /// Settings of each gateway.
+    /// Settings of every gateway.
     pub fn settings(&self) -> Settings {
         let class = Class {
             latency_objective: LATENCY_OBJECTIVE,
@@ -81,7 +83,7 @@
         Settings {
             gateway_count: self.gateways as f64,
             classes: vec![class],
-            plans: (0..PLANS).map(plan).collect(),
+            plans: (0..PLAN_COUNT).map(plan).collect(),
             max_units: 1.0,
             max_attempts: 3,
             cancellation_allowed: true,
@@ -99,7 +101,7 @@
         (0..self.servers).map(|index| self.entry(index, EndpointState::Ready, 0.0)).collect()
     }
 
-    /// One entry of the endpoint list; `started` is when the server last started, ms.
+    /// One entry of the endpoint list. `started` is the time at which the server last started, ms.
     pub fn entry(&self, index: usize, state: EndpointState, started: Millis) -> Endpoint {
         Endpoint {
             server: ServerId(index as u32 + 1),
@@ -111,9 +113,9 @@
         }
     }
 
-    /// The tenants by size, and what they request.
+    /// The traffic of all tenants.
     pub fn demand(&self) -> Demand {
-        // Zipf with exponent 1: the n-th largest requests an n-th of what the largest does.
+        // Zipf's law with exponent 1: the tenant of rank n sends 1/n of the requests of the largest tenant.
         let harmonic: f64 = (1..=self.tenants).map(|rank| 1.0 / rank as f64).sum();
         let mut sum = 0.0;
         let mut cumulative_shares = Vec::with_capacity(self.tenants);
@@ -132,17 +134,17 @@
         }
     }
 
-    /// The smallest plan that holds a tenant's share of the traffic, or the one below for those over their
-    /// quota.
+    /// The plan of a tenant: the smallest plan whose rate covers the tenant's share of the traffic, or the
+    /// next smaller plan if the tenant is to exceed its quota.
     fn plan_of(&self, rank: usize, share: f64) -> PlanId {
         let rate = (self.rate * share / MIN_PLAN_RATE).max(1.0);
         let sufficient = rate.log(PLAN_RATE_FACTOR).ceil() as usize;
         let over_quota = usize::from(rank % OVER_QUOTA_STRIDE == 0);
-        PlanId(sufficient.saturating_sub(over_quota).min(PLANS - 1))
+        PlanId(sufficient.saturating_sub(over_quota).min(PLAN_COUNT - 1))
     }
 }
 
-/// Which tenants' requests come in, by Zipf's law, and at which gateways.
+/// Draws the tenants of requests by Zipf's law, and the gateways that receive them.
 pub struct Demand {
     cumulative_shares: Vec<f64>,
     plans: Vec<PlanId>,
@@ -152,14 +154,14 @@
 
 impl Demand {
     /// Draws the tenant of the next request.
-    pub fn draw(&self, rng: &mut SeededRng) -> usize {
+    pub fn draw_tenant(&self, rng: &mut SeededRng) -> usize {
         let drawn = rng.uniform();
         let tenant = self.cumulative_shares.partition_point(|share| *share < drawn);
         tenant.min(self.cumulative_shares.len() - 1)
     }
 
-    /// Draws the gateway that a tenant's request comes to.
-    pub fn gateway(&self, tenant: usize, rng: &mut SeededRng) -> usize {
+    /// Draws the gateway that receives a tenant's request.
+    pub fn draw_gateway(&self, tenant: usize, rng: &mut SeededRng) -> usize {
         (tenant.wrapping_mul(TENANT_STRIDE) + rng.index(self.gateways_per_tenant)) % self.gateways
     }
 
@@ -177,8 +179,8 @@
     }
 }
 
-/// Bytes of a counter call and its reply on the wire; `ttl` in ms.
-pub fn call_bytes(key: CounterKey, add: f64, ttl: Millis, total: f64) -> usize {
+/// Number of bytes on the wire of a counter call and its reply. `ttl` is in ms.
+pub fn counter_call_bytes(key: CounterKey, add: f64, ttl: Millis, total: f64) -> usize {
     let call = format!("bump {:016x} {add} {}\r\n", key.0, ttl as u64);
     let reply = format!("ok {total}\r\n");
     call.len() + reply.len()
--- a/capacity/src/error.rs
+++ b/capacity/src/error.rs
@@ -9,39 +9,39 @@
 pub enum Error {
     /// A process, file or socket failed.
     Io(std::io::Error),
-    /// A JSON text could not be read or laid out.
+    /// A JSON text could not be parsed or formatted.
     Json(serde_json::Error),
     /// A histogram of latencies could not be created.
     HistogramCreation(CreationError),
-    /// A latency is beyond the histogram's bounds.
+    /// A latency is outside the bounds of the histogram.
     HistogramRecord(RecordError),
-    /// The gateway logged an address that cannot be read.
+    /// The gateway logged an address that cannot be parsed.
     Address(AddrParseError),
-    /// The gateway's log cannot be read.
+    /// The gateway's log cannot be read, because its standard error is not connected to a pipe.
     NoLog,
-    /// The gateway exited before it served.
+    /// The gateway exited before it logged the address that it serves.
     Exited,
-    /// The gateway was not ready in time.
+    /// The gateway did not become ready within the time-out.
     NotReady,
-    /// A measuring process printed no figure.
+    /// A `memory-one` process did not print a number.
     NoFigure,
-    /// `memory-one` was given a kind that it does not know.
+    /// `memory-one` was called with an unknown kind of state.
     UnknownKind(String),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Io(error) => write!(f, "input or output failed: {error}"),
-            Error::Json(error) => write!(f, "invalid JSON: {error}"),
-            Error::HistogramCreation(error) => write!(f, "no histogram: {error}"),
-            Error::HistogramRecord(error) => write!(f, "latency not recorded: {error}"),
-            Error::Address(error) => write!(f, "invalid address in the gateway's log: {error}"),
-            Error::NoLog => write!(f, "the gateway's log cannot be read"),
-            Error::Exited => write!(f, "the gateway exited before it served"),
-            Error::NotReady => write!(f, "the gateway was not ready in time"),
-            Error::NoFigure => write!(f, "a measuring process printed no figure"),
-            Error::UnknownKind(kind) => write!(f, "unknown kind: {kind}"),
+            Error::Io(error) => write!(f, "a process, file or socket operation failed: {error}"),
+            Error::Json(error) => write!(f, "cannot parse or format JSON: {error}"),
+            Error::HistogramCreation(error) => write!(f, "cannot create a latency histogram: {error}"),
+            Error::HistogramRecord(error) => write!(f, "cannot record a latency in the histogram: {error}"),
+            Error::Address(error) => write!(f, "cannot parse the address in the gateway's log: {error}"),
+            Error::NoLog => write!(f, "cannot read the gateway's log: its standard error is not piped"),
+            Error::Exited => write!(f, "the gateway exited before it logged the address that it serves"),
+            Error::NotReady => write!(f, "the gateway did not become ready within the time-out"),
+            Error::NoFigure => write!(f, "a `memory-one` process did not print a number"),
+            Error::UnknownKind(kind) => write!(f, "unknown kind of state: {kind}"),
         }
     }
 }
--- a/capacity/src/lib.rs
+++ b/capacity/src/lib.rs
@@ -1,9 +1,13 @@
-//! What a gateway costs at the size of a fleet.
+//! Measures the processor time and memory that a gateway needs, depending on the size of the fleet.
 //!
-//! [`policy_cost`] measures the decisions of one gateway by size, [`memory`] what it keeps, and
-//! [`simulated_fleet`] simulates all gateways of a fleet on one clock; [`process`] starts real ones. All time
-//! is processor time unless stated otherwise, because a busy machine stretches it less than wall-clock time;
-//! [`measure`] repeats, takes medians and fits slopes.
+//! - [`policy_cost`] measures the processor time of one gateway's decisions.
+//! - [`memory`] measures the memory of one gateway's state.
+//! - [`simulated_fleet`] simulates all gateways of a fleet on one simulated clock.
+//! - [`process`] measures real gateway processes.
+//! - [`measure`] collects the samples, computes medians, fits slopes and prints reports.
+//!
+//! All times are processor time unless stated otherwise, because load on the machine distorts processor time
+//! less than wall-clock time.
 
 pub mod deployment;
 pub mod error;
--- a/capacity/src/main.rs
+++ b/capacity/src/main.rs
@@ -1,4 +1,5 @@
-//! Measures what a gateway costs at the size of a fleet. `capacity help` lists the commands.
+//! Measures the processor time and memory that a gateway needs, depending on the size of the fleet.
+//! `capacity help` lists the commands.
 
 use clap::{Args, Parser, Subcommand};
 use gateway_capacity::deployment::Deployment;
@@ -10,9 +11,9 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(about = "What a gateway costs at the size of a fleet")]
+#[command(about = "Measures the processor time and memory that a gateway needs, by size of the fleet")]
 struct Arguments {
-    /// Print JSON in place of text.
+    /// Print the report as JSON instead of text.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -21,24 +22,24 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Processor time of one gateway's decisions, by servers, gateways and tenants.
+    /// Measure the processor time of one gateway's decisions, by number of servers, gateways and tenants.
     PolicyCost {
         #[arg(long, default_value_t = 5)]
         repeats: usize,
-        /// Simulated seconds of each measurement.
+        /// Duration of each measurement in simulated seconds.
         #[arg(long, default_value_t = 4.0)]
         seconds: f64,
     },
-    /// Memory of one gateway's decisions for each server, tenant and request in flight.
+    /// Measure the memory of one gateway's state, by number of servers, tenants and requests in flight.
     Memory {
         #[arg(long, default_value_t = 5)]
         repeats: usize,
     },
-    /// A whole fleet on one simulated clock.
+    /// Simulate a whole fleet on one simulated clock.
     SimulatedFleet(SimulatedFleetArguments),
-    /// Real gateways beside stub peers on loopback.
+    /// Measure real gateway processes that talk to stub peers on loopback.
     Process(ProcessArguments),
-    /// Memory of one kind, in a process of its own: what `memory` starts.
+    /// Measure the memory of one kind of state. `memory` starts this command in a separate process.
     #[command(hide = true)]
     MemoryOne { kind: String, count: usize },
 }
@@ -51,18 +52,19 @@
     servers: usize,
     #[arg(long, alias = "customers", default_value_t = 28_000)]
     tenants: usize,
-    /// Requests a second of the whole fleet.
+    /// Requests per second of the whole fleet.
     #[arg(long, default_value_t = 140_000.0)]
     rate: f64,
-    /// Gateways through which one tenant's requests come in; 0: all.
+    /// Number of gateways that receive one tenant's requests; 0 means all gateways.
     #[arg(long, aliases = ["spread", "gateway-count"], default_value_t = 0)]
     gateways_per_tenant: usize,
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
-    /// Calls that the counter executes, as a share of the requests; 0: any number.
+    /// Calls per second that the counter can execute, as a multiple of the requests per second; 0 means that
+    /// there is no limit.
     #[arg(long = "bears", default_value_t = 0.0)]
     counter_capacity: f64,
-    /// What happens to the servers.
+    /// The server fault to simulate.
     #[arg(long, alias = "trouble", value_enum, default_value_t = Fault::None)]
     fault: Fault,
     #[arg(long, default_value_t = 1)]
@@ -91,10 +93,10 @@
 
 #[derive(Args)]
 struct ProcessArguments {
-    /// What is measured.
+    /// What to measure.
     #[arg(value_enum)]
-    part: Part,
-    /// The gateway's program.
+    part: ProcessMeasurement,
+    /// Path of the gateway's executable.
     #[arg(long = "limiter", default_value = "target/release/rate-limiting-gateway")]
     program: PathBuf,
     #[arg(long, default_value_t = 5)]
@@ -106,14 +108,14 @@
 }
 
 #[derive(Clone, Copy, clap::ValueEnum)]
-enum Part {
-    /// Time to ready, idle cost and list changes, by servers.
+enum ProcessMeasurement {
+    /// Time until a gateway is ready, its idle cost and the cost of list changes, by number of servers.
     Lists,
-    /// Memory by connections.
+    /// Memory, by number of client connections.
     Connections,
-    /// Latency beside a direct connection, by requests a second.
+    /// Latency through a gateway compared with a direct connection, by requests per second.
     Latency,
-    /// Time from SIGHUP to the new configuration in force, by servers.
+    /// Time from SIGHUP until the new configuration is in effect, by number of servers.
     #[value(name = "hangup")]
     Reload,
 }
@@ -121,18 +123,19 @@
 impl ProcessArguments {
     fn measure(&self) -> Result<Report, Error> {
         match self.part {
-            Part::Lists => process::lists::measure(&self.program, self.repeats),
-            Part::Connections => process::connections::measure(&self.program, self.repeats),
-            Part::Latency => {
+            ProcessMeasurement::Lists => process::lists::measure(&self.program, self.repeats),
+            ProcessMeasurement::Connections => process::connections::measure(&self.program, self.repeats),
+            ProcessMeasurement::Latency => {
                 process::latency::measure(&self.program, self.repeats, self.servers, self.seconds)
             }
-            Part::Reload => process::reload::measure(&self.program, self.repeats),
+            ProcessMeasurement::Reload => process::reload::measure(&self.program, self.repeats),
         }
     }
 }
 
 impl Command {
-    /// Runs the command; `memory-one` prints its only figure itself and has no report.
+    /// Runs the command and returns its report. `memory-one` prints its single figure itself and returns
+    /// `None`.
     fn run(&self) -> Result<Option<Report>, Error> {
         match self {
             Command::PolicyCost { repeats, seconds } => Ok(Some(policy_cost::measure(*repeats, *seconds))),
@@ -140,7 +143,7 @@
             Command::SimulatedFleet(fleet) => Ok(Some(simulated_fleet::run(&fleet.scenario()))),
             Command::Process(process) => process.measure().map(Some),
             Command::MemoryOne { kind, count } => {
-                println!("{}", memory::measure_here(kind, *count)?);
+                println!("{}", memory::measure_in_this_process(kind, *count)?);
                 Ok(None)
             }
         }
--- a/capacity/src/measure.rs
+++ b/capacity/src/measure.rs
@@ -1,17 +1,17 @@
-//! Repeats, medians, least-squares slopes, and how they are printed.
+//! Collects samples, computes medians and least-squares slopes, and prints them.
 
 use serde_json::{json, Value};
 
-/// All that was measured at one size.
+/// All samples of a figure at one size.
 pub struct Point {
-    /// The size: so many servers, gateways or tenants.
+    /// The size, for example the number of servers, gateways or tenants.
     pub size: f64,
-    /// One figure for each repeat.
+    /// The measured values, usually one for each repetition.
     pub samples: Vec<f64>,
 }
 
 impl Point {
-    /// The middle one of the samples.
+    /// The median of the samples; not a number if there are none.
     pub fn median(&self) -> f64 {
         let mut sorted = self.samples.clone();
         sorted.sort_by(f64::total_cmp);
@@ -22,38 +22,38 @@
         }
     }
 
-    /// The smallest sample; infinite if there is none.
+    /// The smallest sample; infinity if there are none.
     pub fn min(&self) -> f64 {
         self.samples.iter().copied().fold(f64::INFINITY, f64::min)
     }
 
-    /// The largest sample; negative infinite if there is none.
+    /// The largest sample; negative infinity if there are none.
     pub fn max(&self) -> f64 {
         self.samples.iter().copied().fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
-/// A straight line through medians.
+/// A straight line fitted to medians.
 #[derive(Clone, Copy, Debug)]
 pub struct Fit {
-    /// The figure at size 0.
+    /// The value at size 0.
     pub base: f64,
-    /// What each further one of the size adds.
+    /// The increase of the value when the size grows by 1.
     pub slope: f64,
     /// Standard error of the slope.
     pub error: f64,
 }
 
-/// A point of a straight line.
+/// A point to which a straight line is fitted.
 #[derive(Clone, Copy, Debug)]
 pub struct FitPoint {
     /// The size.
     pub x: f64,
-    /// The figure.
+    /// The value at this size.
     pub y: f64,
 }
 
-/// The least-squares line through points; not a number where all have one size.
+/// Fits a least-squares line to points. Its slope and base are not a number if all points have the same size.
 pub fn fit(points: &[FitPoint]) -> Fit {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.x).sum::<f64>() / n;
@@ -65,11 +65,11 @@
     Fit { base, slope, error: (residuals / (n - 2.0).max(1.0) / spread).sqrt() }
 }
 
-/// One figure over several sizes.
+/// A figure that was measured at several sizes.
 pub struct Series {
-    /// What was measured.
+    /// Label of the figure.
     pub what: String,
-    /// What the size counts.
+    /// Label of the size, for example `servers`.
     pub by: &'static str,
     /// The unit of the figure.
     pub unit: &'static str,
@@ -78,7 +78,7 @@
 }
 
 impl Series {
-    /// The line through the medians.
+    /// The line fitted to the medians.
     pub fn fit(&self) -> Fit {
         let points: Vec<FitPoint> =
             self.points.iter().map(|p| FitPoint { x: p.size, y: p.median() }).collect();
@@ -86,33 +86,33 @@
     }
 }
 
-/// One figure of one size.
+/// A figure that is not measured by size.
 pub struct Fact {
-    /// What was measured.
+    /// Label of the figure.
     pub what: String,
-    /// The figure.
+    /// Value of the figure.
     pub value: f64,
-    /// Its unit; empty for a count or a ratio.
+    /// The unit of the value; empty for a count or a ratio.
     pub unit: &'static str,
 }
 
-/// All that a command has measured.
+/// The figures that a command has measured.
 #[derive(Default)]
 pub struct Report {
-    /// Figures over sizes.
+    /// Figures that were measured at several sizes.
     pub series: Vec<Series>,
-    /// Figures of one size.
+    /// Figures that are not measured by size.
     pub facts: Vec<Fact>,
 }
 
 impl Report {
-    /// Adds a figure of one size.
-    pub fn fact(&mut self, what: impl Into<String>, value: f64, unit: &'static str) {
+    /// Adds a figure that is not measured by size.
+    pub fn add_fact(&mut self, what: impl Into<String>, value: f64, unit: &'static str) {
         self.facts.push(Fact { what: what.into(), value, unit });
     }
 
-    /// Adds a sample to a series, which is begun where it is new.
-    pub fn sample(&mut self, what: &str, by: &'static str, unit: &'static str, size: f64, value: f64) {
+    /// Adds a sample to the series with these labels, and creates the series if it does not exist.
+    pub fn add_sample(&mut self, what: &str, by: &'static str, unit: &'static str, size: f64, value: f64) {
         let index = self.series.iter().position(|s| s.what == what && s.by == by).unwrap_or_else(|| {
             self.series.push(Series { what: what.into(), by, unit, points: Vec::new() });
             self.series.len() - 1
@@ -124,14 +124,14 @@
         }
     }
 
-    /// As text for people.
+    /// Formats the report as text for people.
     pub fn text(&self) -> String {
         let series = self.series.iter().map(Series::text);
         let facts = self.facts.iter().map(Fact::text);
         series.chain(facts).collect()
     }
 
-    /// As JSON for programs.
+    /// Formats the report as JSON for programs.
     pub fn json(&self) -> Value {
         let series: Vec<Value> = self.series.iter().map(Series::json).collect();
         let facts: Vec<Value> = self.facts.iter().map(Fact::json).collect();
@@ -180,7 +180,7 @@
     }
 }
 
-/// A figure with four digits.
+/// Formats a value with about four significant digits.
 fn short(value: f64) -> String {
     let digits = 3 - value.abs().max(1e-6).log10().floor() as i32;
     format!("{value:.*}", digits.clamp(0, 6) as usize)
--- a/capacity/src/memory.rs
+++ b/capacity/src/memory.rs
@@ -1,4 +1,4 @@
-//! Resident memory that one gateway's decisions take for each server, tenant and request in flight.
+//! Resident memory of one gateway's state for each server, tenant and request in flight.
 
 use crate::deployment::{Demand, Deployment};
 use crate::error::Error;
@@ -11,82 +11,86 @@
 use rate_limiting_gateway::settings::Settings;
 use std::process::Command;
 
-/// Bytes of a page, as `/proc` counts them on the machines this runs on.
+/// Bytes of a memory page, the unit of `/proc/PID/statm`, on the machines that this program runs on.
 const PAGE_BYTES: usize = 4096;
-/// Gateways that hold the endpoint list side by side, so that one's part stands out from noise.
-const COPIES: usize = 20;
-/// The simulated clock at the start, ms.
+/// Number of gateways that hold the endpoint list at the same time. The memory of a single gateway would be
+/// lost in the noise of the measurement.
+const GATEWAY_COPIES: usize = 20;
+/// Simulated time at which a measurement starts, ms.
 const START: Millis = 1.0;
-/// Requests come in so far apart, ms.
+/// Simulated time between two requests, ms.
 const REQUEST_INTERVAL: Millis = 0.001;
-/// Response time of servers, ms.
+/// Response time of the servers, ms.
 const RESPONSE_TIME: Millis = 20.0;
 
-/// Resident bytes of a process; none if it has gone.
-pub fn resident(pid: u32) -> Option<usize> {
+/// Resident memory of a process, bytes; `None` if `/proc` cannot be read, for example because the process
+/// has exited.
+pub fn resident_bytes(pid: u32) -> Option<usize> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/statm")).ok()?;
     Some(text.split(' ').nth(1)?.parse::<usize>().ok()? * PAGE_BYTES)
 }
 
-/// Resident bytes of this process.
+/// Resident memory of this process, bytes.
 pub fn own_resident_bytes() -> usize {
-    resident(std::process::id()).unwrap_or_default()
+    resident_bytes(std::process::id()).unwrap_or_default()
 }
 
-/// What is counted in a process of its own.
+/// A kind of gateway state whose memory is measured, each in a separate process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum StateKind {
     /// Servers of the endpoint list.
     Server,
-    /// Tenants that the gateway remembers.
+    /// Tenants that the gateway keeps state for.
     Tenant,
     /// Requests in flight.
     InFlightRequest,
 }
 
-impl Kind {
-    /// All kinds.
-    pub const ALL: [Kind; 3] = [Kind::Server, Kind::Tenant, Kind::InFlightRequest];
+impl StateKind {
+    /// All kinds of state.
+    pub const ALL: [StateKind; 3] = [StateKind::Server, StateKind::Tenant, StateKind::InFlightRequest];
 
-    /// Its name in reports and on the command line.
+    /// Name of this kind in reports and on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Server => "server",
-            Kind::Tenant => "customer",
-            Kind::InFlightRequest => "open request",
+            StateKind::Server => "server",
+            StateKind::Tenant => "customer",
+            StateKind::InFlightRequest => "open request",
         }
     }
 
-    /// How many of it are measured.
+    /// The numbers of servers, tenants or requests at which the memory is measured.
     pub fn sizes(self) -> [usize; 4] {
         match self {
-            Kind::Server => [20, 200, 1_000, 5_700],
-            Kind::Tenant => [1_000, 10_000, 100_000, 1_000_000],
-            Kind::InFlightRequest => [1_000, 4_000, 8_000, 15_000],
+            StateKind::Server => [20, 200, 1_000, 5_700],
+            StateKind::Tenant => [1_000, 10_000, 100_000, 1_000_000],
+            StateKind::InFlightRequest => [1_000, 4_000, 8_000, 15_000],
         }
     }
 }
 
-/// Bytes that so many of a kind take at one gateway, measured in this process.
+/// Measures in this process the memory, in bytes, that `count` servers, tenants or requests take at one
+/// gateway.
 ///
 /// # Errors
-/// If there is no kind of that name.
-pub fn measure_here(kind: &str, count: usize) -> Result<f64, Error> {
-    let known = Kind::ALL.into_iter().find(|known| known.name() == kind);
+/// Fails if there is no kind of state with this name.
+pub fn measure_in_this_process(kind: &str, count: usize) -> Result<f64, Error> {
+    let known = StateKind::ALL.into_iter().find(|known| known.name() == kind);
     match known.ok_or_else(|| Error::UnknownKind(kind.to_owned()))? {
-        Kind::Server => Ok(server_memory(count)),
-        Kind::Tenant => Ok(tenant_memory(count)),
-        Kind::InFlightRequest => Ok(in_flight_memory(count)),
+        StateKind::Server => Ok(server_memory(count)),
+        StateKind::Tenant => Ok(tenant_memory(count)),
+        StateKind::InFlightRequest => Ok(in_flight_memory(count)),
     }
 }
 
 fn server_memory(servers: usize) -> f64 {
     let deployment = Deployment { servers, ..Deployment::default() };
     let before = own_resident_bytes();
-    let gateways: Vec<Gateway> =
-        (0..COPIES as u64).map(|seed| gateway_with_list(&deployment, deployment.settings(), seed)).collect();
-    let grown = own_resident_bytes().saturating_sub(before);
-    grown as f64 / gateways.len() as f64
+    let gateways: Vec<Gateway> = (0..GATEWAY_COPIES as u64)
+        .map(|seed| gateway_with_list(&deployment, deployment.settings(), seed))
+        .collect();
+    let growth = own_resident_bytes().saturating_sub(before);
+    growth as f64 / gateways.len() as f64
 }
 
 fn tenant_memory(tenants: usize) -> f64 {
@@ -101,18 +105,18 @@
             }
         }
     }
-    bench.grown_since(before)
+    bench.resident_growth_since(before)
 }
 
 fn in_flight_memory(requests: usize) -> f64 {
     let mut bench = MemoryBench::new(1, 2_000);
     let before = own_resident_bytes();
     for index in 0..requests {
-        // A plan that does not exist has no quota.
+        // An unknown plan has no quota, so the quota rejects none of the requests.
         let request = Request { plan: PlanId(usize::MAX), ..bench.demand.request(index as u32, 0) };
         bench.handle(START + index as f64 * REQUEST_INTERVAL, Event::Request(request));
     }
-    bench.grown_since(before)
+    bench.resident_growth_since(before)
 }
 
 fn gateway_with_list(deployment: &Deployment, settings: Settings, seed: u64) -> Gateway {
@@ -121,7 +125,7 @@
     gateway
 }
 
-/// One gateway without a counter, and what it is fed.
+/// One gateway that does not use the counter, and the traffic that is sent to it.
 struct MemoryBench {
     gateway: Gateway,
     demand: Demand,
@@ -130,7 +134,8 @@
 
 impl MemoryBench {
     fn new(tenants: usize, servers: usize) -> Self {
-        // A fleet of one gateway, whose concurrency limit allows all requests to be in flight at once.
+        // With only one gateway in the fleet, its concurrency limit allows all requests to be in flight at
+        // the same time.
         let deployment = Deployment { gateways: 1, tenants, servers, ..Deployment::default() };
         let settings = Settings { counter_enabled: false, ..deployment.settings() };
         MemoryBench {
@@ -145,28 +150,34 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn grown_since(&self, before: usize) -> f64 {
+    fn resident_growth_since(&self, before: usize) -> f64 {
         std::hint::black_box(&self.gateway);
         own_resident_bytes().saturating_sub(before) as f64
     }
 }
 
-/// Measures all kinds, each in a process of its own.
+/// Measures all kinds of state at all sizes. A separate process makes each measurement.
 ///
 /// # Errors
-/// If this program cannot be started again, or prints no figure.
+/// Fails if this program cannot be started as another process, or if that process does not print a number.
 pub fn measure(repeats: usize) -> Result<Report, Error> {
     let program = std::env::current_exe()?;
     let mut report = Report::default();
     for _ in 0..repeats {
-        for kind in Kind::ALL {
+        for kind in StateKind::ALL {
             for count in kind.sizes() {
                 let name = kind.name();
                 let output =
                     Command::new(&program).args(["memory-one", name, &count.to_string()]).output()?;
                 let text = String::from_utf8_lossy(&output.stdout);
                 let bytes = text.trim().parse().map_err(|_| Error::NoFigure)?;
-                report.sample(&format!("memory of a module, {name}s"), name, "bytes", count as f64, bytes);
+                report.add_sample(
+                    &format!("memory of a module, {name}s"),
+                    name,
+                    "bytes",
+                    count as f64,
+                    bytes,
+                );
             }
         }
     }
--- a/capacity/src/policy_cost/bench.rs
+++ b/capacity/src/policy_cost/bench.rs
@@ -1,7 +1,7 @@
-//! One gateway with its endpoint list, fed with traffic in slices of equal length.
+//! A test bench that sends traffic to one gateway, in time slices of equal length.
 
 use super::costs::{clock_cost, Costs, EventCost};
-use crate::deployment::{call_bytes, Demand, Deployment};
+use crate::deployment::{counter_call_bytes, Demand, Deployment};
 use crate::simulation::{attempt_ended, counter_answered, CounterStub, SeededRng};
 use cpu_time::ThreadTime;
 use rate_limiting_gateway::action::Action;
@@ -11,29 +11,29 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Length of a slice, ms: the period of the gateway's timer.
-const SLICE: Millis = 20.0;
-/// A server responds after so many slices; the counter replies in the next one.
+/// Length of a time slice, which is also the period of the gateway's timer, ms.
+const SLICE_LENGTH: Millis = 20.0;
+/// Number of slices after which a server responds. The counter replies in the next slice.
 const RESPONSE_SLICES: u64 = 2;
-/// One first attempt in so many cannot connect, so that retries are measured.
+/// About one first attempt in this many fails to connect, so that retries are measured too.
 const FAILURE_STRIDE: usize = 25;
-/// Slices at the start that are not measured.
+/// Number of slices at the start that are not measured.
 const WARM_UP_SLICES: u64 = 50;
-/// The simulated clock begins here, ms: far from 0, as Unix time is.
+/// Simulated time at which the traffic starts, ms. The value is far from 0, as Unix time is.
 const START: Millis = 1_000_000.0;
-/// Time between tenants that are introduced, ms.
-const INTRODUCTION_INTERVAL: Millis = 0.01;
-/// Time of a counter call, ms.
+/// Simulated time between the first requests of two tenants, ms.
+const FIRST_REQUEST_INTERVAL: Millis = 0.01;
+/// Duration of a counter call as reported to the gateway, ms.
 const COUNTER_LATENCY: Millis = 5.0;
-/// Response time of a server to an introduced tenant, ms.
-const INTRODUCTION_RESPONSE: Millis = 10.0;
+/// Response time of a server to the first request of a tenant, ms.
+const FIRST_REQUEST_LATENCY: Millis = 10.0;
 
-/// Which tenants' requests come in.
+/// How the tenant of each request is chosen.
 #[derive(Clone, Copy)]
 enum TenantMix {
-    /// By the deployment's demand.
+    /// The tenant is drawn by its share of the deployment's traffic.
     Demand,
-    /// Each of so many alike.
+    /// Each of this many tenants is equally likely.
     Uniform(usize),
 }
 
@@ -41,23 +41,23 @@
 struct InFlightAttempt {
     id: RequestId,
     server: ServerId,
-    /// Its number, from 0.
+    /// Number of the attempt within its request, from 0.
     attempt: u8,
 }
 
 impl InFlightAttempt {
     fn ended(&self, outcome: Outcome) -> Event {
-        attempt_ended(self.id, self.attempt, self.server, outcome, SLICE * RESPONSE_SLICES as f64)
+        attempt_ended(self.id, self.attempt, self.server, outcome, SLICE_LENGTH * RESPONSE_SLICES as f64)
     }
 }
 
-/// A counter call that awaits its reply.
+/// A counter call whose reply is outstanding.
 struct PendingCall {
     key: CounterKey,
     total: f64,
 }
 
-/// One gateway, and its peers as far as they matter to its decisions.
+/// One gateway, and the parts of its peers that affect its decisions.
 pub struct Bench {
     gateway: Gateway,
     demand: Demand,
@@ -66,18 +66,18 @@
     slice: u64,
     next_request: u32,
     counter: CounterStub,
-    /// Attempts by the slice in which they end.
+    /// Attempts in flight, by the slice in which they end.
     in_flight: HashMap<u64, Vec<InFlightAttempt>>,
-    /// Attempts that each request has had.
+    /// Number of attempts that each request has had.
     attempts: HashMap<RequestId, u8>,
     pending_calls: Vec<PendingCall>,
     requests_per_second: f64,
-    /// What a reading of the processor clock takes.
+    /// Processor time that one reading of the processor clock takes.
     clock_cost: Duration,
 }
 
 impl Bench {
-    /// A gateway that has its endpoint list.
+    /// Creates a gateway and sends it the complete endpoint list.
     pub fn new(deployment: &Deployment, seed: u64) -> Self {
         let mut bench = Bench {
             gateway: Gateway::new(deployment.settings(), seed),
@@ -97,22 +97,23 @@
         bench
     }
 
-    /// Applies an update of the endpoint list, and returns the processor time it took.
+    /// Sends the gateway an update of the endpoint list, and returns the processor time of the update.
     pub fn update_endpoints(&mut self, update: EndpointUpdate, entries: Vec<Endpoint>) -> Duration {
         let mut actions = Vec::new();
-        let since = ThreadTime::now();
+        let started = ThreadTime::now();
         self.gateway.handle(self.now, Event::EndpointsChanged { update, entries }, &mut actions);
-        let elapsed = since.elapsed().saturating_sub(self.clock_cost);
+        let elapsed = started.elapsed().saturating_sub(self.clock_cost);
         self.execute(actions, &mut Costs::default());
         elapsed
     }
 
-    /// Runs some simulated seconds of the deployment's traffic.
+    /// Runs the deployment's traffic for some simulated seconds, after a warm-up that is not measured.
     pub fn run(&mut self, seconds: f64) -> Costs {
         self.run_mix(seconds, TenantMix::Demand)
     }
 
-    /// Runs some simulated seconds of traffic in which each tenant has an equal part.
+    /// Runs traffic in which all tenants have equal shares for some simulated seconds, after a warm-up that
+    /// is not measured.
     pub(super) fn run_uniform_tenants(&mut self, seconds: f64, tenants: usize) -> Costs {
         self.run_mix(seconds, TenantMix::Uniform(tenants))
     }
@@ -122,16 +123,16 @@
             self.step(mix, &mut Costs::default());
         }
         let mut costs = Costs::default();
-        for _ in 0..(seconds * 1000.0 / SLICE) as u64 {
+        for _ in 0..(seconds * 1000.0 / SLICE_LENGTH) as u64 {
             self.step(mix, &mut costs);
         }
         costs
     }
 
-    /// The next slice: ends of attempts, counter replies, requests, timer.
+    /// Simulates the next slice: the ends of attempts, the counter replies, the requests and the timer.
     fn step(&mut self, mix: TenantMix, costs: &mut Costs) {
         self.slice += 1;
-        self.now += SLICE;
+        self.now += SLICE_LENGTH;
         self.end_attempts(costs);
         let replies = self
             .pending_calls
@@ -162,9 +163,9 @@
     fn arrivals(&mut self, mix: TenantMix) -> Vec<Event> {
         let mut requests = Vec::new();
         let mut at = self.rng.interarrival(self.requests_per_second);
-        while at < SLICE {
+        while at < SLICE_LENGTH {
             let tenant = match mix {
-                TenantMix::Demand => self.demand.draw(&mut self.rng),
+                TenantMix::Demand => self.demand.draw_tenant(&mut self.rng),
                 TenantMix::Uniform(tenants) => self.rng.index(tenants),
             };
             requests.push(self.request_of(tenant));
@@ -179,16 +180,16 @@
         Event::Request(request)
     }
 
-    /// Feeds events to the gateway, and adds their processor time to one of the costs.
+    /// Sends events to the gateway, and adds their processor time to the cost that `cost` selects.
     fn measure(&mut self, events: Vec<Event>, cost: fn(&mut Costs) -> &mut EventCost, costs: &mut Costs) {
         let count = events.len();
         let mut actions = Vec::with_capacity(16 * count);
-        let since = ThreadTime::now();
+        let started = ThreadTime::now();
         for event in events {
             self.gateway.handle(self.now, event, &mut actions);
         }
         if count > 0 {
-            cost(costs).add(since, count, self.clock_cost);
+            cost(costs).add(started, count, self.clock_cost);
         }
         self.execute(actions, costs);
     }
@@ -202,8 +203,8 @@
                 }
                 Action::IncrementCounter { key, add, ttl } => {
                     let total = self.counter.add(key, add);
-                    costs.calls += 1;
-                    costs.bytes += call_bytes(key, add, ttl, total);
+                    costs.counter_calls += 1;
+                    costs.counter_bytes += counter_call_bytes(key, add, ttl, total);
                     self.pending_calls.push(PendingCall { key, total });
                 }
                 _ => {}
@@ -218,25 +219,26 @@
         self.in_flight.entry(self.slice + RESPONSE_SLICES).or_default().push(attempt);
     }
 
-    /// Lets each tenant send one request, with everything answered at once.
-    pub(super) fn introduce_tenants(&mut self, tenants: usize) {
+    /// Sends one request of each tenant, so that the gateway keeps state for all tenants. Servers and counter
+    /// reply immediately.
+    pub(super) fn send_one_request_per_tenant(&mut self, tenants: usize) {
         for tenant in 0..tenants {
-            self.now += INTRODUCTION_INTERVAL;
+            self.now += FIRST_REQUEST_INTERVAL;
             let mut actions = Vec::new();
             let request = self.request_of(tenant);
             self.gateway.handle(self.now, request, &mut actions);
             while let Some(action) = actions.pop() {
-                if let Some(event) = self.immediate_answer(action) {
+                if let Some(event) = self.immediate_reply(action) {
                     self.gateway.handle(self.now, event, &mut actions);
                 }
             }
         }
     }
 
-    fn immediate_answer(&mut self, action: Action) -> Option<Event> {
+    fn immediate_reply(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Forward { id, server, .. } => {
-                Some(attempt_ended(id, 0, server, Outcome::Ok, INTRODUCTION_RESPONSE))
+                Some(attempt_ended(id, 0, server, Outcome::Ok, FIRST_REQUEST_LATENCY))
             }
             Action::IncrementCounter { key, add, .. } => {
                 Some(counter_answered(key, COUNTER_LATENCY, self.counter.add(key, add)))
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Tenants that the gateway remembers.
+    /// Number of tenants that the gateway keeps state for.
     pub fn tenant_count(&self) -> usize {
         self.gateway.tenant_count()
     }
--- a/capacity/src/policy_cost/costs.rs
+++ b/capacity/src/policy_cost/costs.rs
@@ -1,4 +1,4 @@
-//! Processor time and counts of what a gateway handled.
+//! Processor time and counts of the events that a gateway has handled.
 
 use cpu_time::ThreadTime;
 use std::time::Duration;
@@ -6,48 +6,49 @@
 /// Processor time and number of the events of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventCost {
-    /// Processor time of all of them.
+    /// Processor time of all these events.
     pub time: Duration,
-    /// How many there were.
+    /// Number of events.
     pub events: usize,
 }
 
 impl EventCost {
-    /// Mean time of one event, µs.
+    /// Mean processor time of one event, µs.
     pub fn mean(&self) -> f64 {
         self.time.as_secs_f64() * 1e6 / self.events.max(1) as f64
     }
 
-    /// Adds events handled since a reading of the clock, which itself takes `clock_cost`.
-    pub(super) fn add(&mut self, since: ThreadTime, events: usize, clock_cost: Duration) {
-        self.time += since.elapsed().saturating_sub(clock_cost);
+    /// Adds events that were handled since `started`. The processor time that reading the clock takes,
+    /// `clock_cost`, is subtracted.
+    pub(super) fn add(&mut self, started: ThreadTime, events: usize, clock_cost: Duration) {
+        self.time += started.elapsed().saturating_sub(clock_cost);
         self.events += events;
     }
 }
 
-/// What a stretch of traffic cost one gateway.
+/// Processor time and counts of the traffic that one gateway has handled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Costs {
-    /// Requests, with their first attempts.
+    /// Arrivals of requests, including the start of their first attempts.
     pub request: EventCost,
-    /// Ends of attempts that were served.
+    /// Ends of attempts that a server answered.
     pub served_attempt: EventCost,
-    /// Ends of attempts that could not connect, with the retries.
+    /// Ends of attempts that failed to connect, including the start of the retries.
     pub retry: EventCost,
-    /// Replies of the counter.
+    /// Counter replies.
     pub counter_reply: EventCost,
-    /// The periodic timer.
+    /// Firings of the periodic timer.
     pub timer: EventCost,
-    /// Attempts made.
+    /// Number of attempts started.
     pub attempts: usize,
-    /// Calls to the counter.
-    pub calls: usize,
-    /// Bytes to and from the counter.
-    pub bytes: usize,
+    /// Number of counter calls.
+    pub counter_calls: usize,
+    /// Number of bytes sent to and received from the counter.
+    pub counter_bytes: usize,
 }
 
 impl Costs {
-    /// Processor time of everything for each request, µs.
+    /// Processor time of all events, divided by the number of requests, µs.
     pub fn total_per_request(&self) -> f64 {
         let all = [self.request, self.served_attempt, self.retry, self.counter_reply, self.timer];
         let seconds: f64 = all.iter().map(|cost| cost.time.as_secs_f64()).sum();
@@ -55,13 +56,13 @@
     }
 }
 
-/// What a reading of the processor clock takes.
+/// Measures the processor time that one reading of the processor clock takes.
 pub(super) fn clock_cost() -> Duration {
     const READS: u32 = 2000;
-    let since = ThreadTime::now();
+    let started = ThreadTime::now();
     for _ in 0..READS {
         std::hint::black_box(ThreadTime::now().elapsed());
     }
     // Each iteration reads the clock twice, and a measurement includes one reading.
-    since.elapsed() / READS / 2
+    started.elapsed() / READS / 2
 }
--- a/capacity/src/process/connections.rs
+++ b/capacity/src/process/connections.rs
@@ -1,6 +1,6 @@
-//! Memory of a gateway by client connections.
+//! Measures the memory of a gateway by number of client connections.
 
-use super::endpoint_list::{complete, Layout};
+use super::endpoint_list::{complete_list_json, Layout};
 use super::gateway_process::GatewayProcess;
 use super::wait_until;
 use crate::error::Error;
@@ -9,19 +9,21 @@
 use std::path::Path;
 use std::time::Duration;
 
-const CONNECTIONS: [usize; 4] = [0, 100, 500, 1_000];
-const SERVERS: usize = 1_000;
-/// All requests are in flight within this.
+const CONNECTION_COUNTS: [usize; 4] = [0, 100, 500, 1_000];
+const SERVER_COUNT: usize = 1_000;
+/// Time-out for all requests to be in flight.
 const IN_FLIGHT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Measures resident memory with idle clients, with a request in flight for each, and after the responses.
+/// Measures the resident memory with idle client connections, with one request in flight on each connection,
+/// and after all responses.
 ///
 /// # Errors
-/// If a process does not start, or no port is free.
+/// Fails if a process does not start, no port is free, a connection is lost, or the gateway does not become
+/// ready.
 pub fn measure(program: &Path, repeats: usize) -> Result<Report, Error> {
     let mut report = Report::default();
     for _ in 0..repeats {
-        for connections in CONNECTIONS {
+        for connections in CONNECTION_COUNTS {
             measure_connections(&mut report, program, connections)?;
         }
     }
@@ -30,11 +32,12 @@
 
 fn measure_connections(report: &mut Report, program: &Path, connections: usize) -> Result<(), Error> {
     let server = ServerStub::start()?;
-    let discovery = DiscoveryStub::start(complete(SERVERS, server.address, Layout::Compact)?, 0)?;
+    let discovery =
+        DiscoveryStub::start(complete_list_json(SERVER_COUNT, server.address, Layout::Compact)?, 0)?;
     let gateway = GatewayProcess::start_ready(program, discovery.address, 1)?;
     let mut clients = connect_all(&gateway, connections)?;
     let size = connections as f64;
-    let mut add = |what: &str, unit, value| report.sample(what, "connections", unit, size, value);
+    let mut add = |what: &str, unit, value| report.add_sample(what, "connections", unit, size, value);
     add("resident, so many clients that rest", "bytes", gateway.resident_bytes());
     server.hold_responses(true);
     for (id, client) in clients.iter_mut().enumerate() {
--- a/capacity/src/process/endpoint_list.rs
+++ b/capacity/src/process/endpoint_list.rs
@@ -1,24 +1,25 @@
-//! Endpoint lists as a discovery agent writes them.
+//! Endpoint lists in the JSON format of a discovery agent.
 
 use crate::error::Error;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Zones and cells over which the servers are spread.
+/// Number of zones over which the servers are distributed.
 const ZONES: usize = 6;
+/// Number of servers in a cell.
 const CELL_SIZE: usize = 8;
 
-/// How the JSON of a list is laid out.
+/// Formatting of the JSON text of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Layout {
-    /// On one line.
+    /// The list is one line without white space.
     Compact,
-    /// Over several lines, with indentation.
+    /// The list has several lines with indentation.
     Indented,
 }
 
-/// One entry of a list; `phase` as the agent names it.
-pub(super) fn entry(server: usize, address: SocketAddr, phase: &str) -> String {
+/// The JSON of one entry. `phase` is the state of the server as the agent names it.
+pub(super) fn entry_json(server: usize, address: SocketAddr, phase: &str) -> String {
     let zone = server % ZONES;
     let cell = server / CELL_SIZE;
     format!(
@@ -26,9 +27,13 @@
     )
 }
 
-/// A complete list of servers that all have one address.
-pub(super) fn complete(servers: usize, address: SocketAddr, layout: Layout) -> Result<String, Error> {
-    let entries: Vec<String> = (1..=servers).map(|server| entry(server, address, "Ready")).collect();
+/// The JSON of a complete list, in which all servers have the same address.
+pub(super) fn complete_list_json(
+    servers: usize,
+    address: SocketAddr,
+    layout: Layout,
+) -> Result<String, Error> {
+    let entries: Vec<String> = (1..=servers).map(|server| entry_json(server, address, "Ready")).collect();
     let text = format!(r#"{{"revision":1,"complete":true,"members":[{}]}}"#, entries.join(","));
     match layout {
         Layout::Compact => Ok(text + "\n"),
@@ -39,7 +44,7 @@
     }
 }
 
-/// A change of one entry.
-pub(super) fn change(revision: usize, entry: &str) -> String {
+/// The JSON of an incremental list that changes one entry.
+pub(super) fn incremental_list_json(revision: usize, entry: &str) -> String {
     format!(r#"{{"revision":{revision},"complete":false,"members":[{entry}]}}"#)
 }
--- a/capacity/src/process/gateway_process.rs
+++ b/capacity/src/process/gateway_process.rs
@@ -1,8 +1,8 @@
-//! A gateway that runs as a process of its own.
+//! Starts a gateway as a separate process, and measures its processor time and memory.
 
 use super::READY_TIMEOUT;
 use crate::error::Error;
-use crate::memory::resident;
+use crate::memory::resident_bytes;
 use crate::stub_peers::{start_counter, Client};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -11,25 +11,25 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Pause between two readiness checks.
+/// Pause between two readiness checks of a starting gateway.
 const READINESS_POLL: Duration = Duration::from_millis(5);
 
-/// Numbers the configuration files of this process.
+/// Number of the next configuration file that this process writes.
 static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
 
-/// A running gateway; it is killed when this is dropped.
+/// A running gateway process. Dropping this value kills the process and deletes its configuration file.
 pub(super) struct GatewayProcess {
     child: Child,
     pub address: SocketAddr,
     config_path: PathBuf,
     counter: SocketAddr,
-    /// Gateways of the fleet by its settings.
+    /// Number of gateways in the fleet according to the settings.
     gateways: usize,
     pub started: Instant,
 }
 
 impl GatewayProcess {
-    /// Starts a gateway and waits until it listens.
+    /// Starts a gateway and waits until it has logged the address that it serves.
     pub fn start(program: &Path, discovery: SocketAddr, gateways: usize) -> Result<Self, Error> {
         let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let name = format!("gateway-capacity-{}-{number}.json", std::process::id());
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Waits until the gateway is ready; false if it is not in time.
+    /// Waits until the gateway is ready. Returns `false` if it is not ready within [`READY_TIMEOUT`].
     pub fn wait_until_ready(&self) -> Result<bool, Error> {
         while self.started.elapsed() < READY_TIMEOUT {
             if Client::connect(self.address)?.is_ready()? {
@@ -64,18 +64,18 @@
         Ok(false)
     }
 
-    /// Writes a configuration that names another discovery agent.
+    /// Replaces the configuration file by one that names another discovery agent.
     pub fn configure_discovery(&self, discovery: SocketAddr) -> Result<(), Error> {
         Ok(std::fs::write(&self.config_path, config(discovery, self.counter, self.gateways))?)
     }
 
-    /// Sends SIGHUP.
-    pub fn hang_up(&self) -> Result<(), Error> {
+    /// Sends SIGHUP to the gateway, which then reads its configuration file again.
+    pub fn send_sighup(&self) -> Result<(), Error> {
         Command::new("kill").args(["-HUP", &self.child.id().to_string()]).status()?;
         Ok(())
     }
 
-    /// Processor time of all threads so far, ms.
+    /// Processor time that all threads of the gateway have used so far, ms.
     pub fn processor_time(&self) -> f64 {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id()));
         let mut nanos = 0.0;
@@ -86,9 +86,9 @@
         nanos / 1e6
     }
 
-    /// Resident memory, bytes.
+    /// Resident memory of the gateway, bytes.
     pub fn resident_bytes(&self) -> f64 {
-        resident(self.child.id()).unwrap_or_default() as f64
+        resident_bytes(self.child.id()).unwrap_or_default() as f64
     }
 }
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// Reads the log up to the address that the gateway serves at; a thread discards the rest.
+/// Reads the log until the gateway reports the address that it serves. A thread discards the rest of the log.
 fn wait_for_address(log: ChildStderr) -> Result<SocketAddr, Error> {
     let mut lines = BufReader::new(log).lines();
     let address = loop {
@@ -113,6 +113,7 @@
     Ok(address)
 }
 
+/// The gateway's configuration as JSON text.
 fn config(discovery: SocketAddr, counter: SocketAddr, gateways: usize) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","counter":"{counter}","seed":"8c1f30d27a5be964","limits":{{"sockets":16384,"memory_mb":4096}},
--- a/capacity/src/process/latency.rs
+++ b/capacity/src/process/latency.rs
@@ -1,6 +1,6 @@
-//! Latency through a gateway beside that of a direct connection, by requests a second.
+//! Measures the latency through a gateway compared with a direct connection, by requests per second.
 
-use super::endpoint_list::{complete, Layout};
+use super::endpoint_list::{complete_list_json, Layout};
 use super::gateway_process::GatewayProcess;
 use crate::error::Error;
 use crate::measure::Report;
@@ -10,27 +10,30 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Requests a second.
+/// Rates at which latency is measured, requests per second.
 const RATES: [usize; 4] = [50, 100, 200, 300];
-/// Gateways of the fleet by the settings.
-const GATEWAYS: usize = 530;
-const TENANTS: usize = 1000;
-/// Longest latency that is recorded, µs, and its precision in digits.
+/// Number of gateways in the fleet according to the settings.
+const GATEWAY_COUNT: usize = 530;
+const TENANT_COUNT: usize = 1000;
+/// Longest latency that the histogram can record, µs.
 const MAX_LATENCY: u64 = 60_000_000;
+/// Precision of the recorded latencies, significant digits.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Whose requests are sent. Each of a small tenant waits for the counter; calls for a large one are made
-/// beside.
+/// A kind of tenant. A request of a tenant with the small plan waits for a counter call, unless a recent read
+/// is cached. The counter calls for tenants with the large plan are made in the background.
 #[derive(Clone, Copy)]
 struct TenantKind {
     plan: &'static str,
     gateway_count: usize,
 }
 
-const TENANT_KINDS: [TenantKind; 2] =
-    [TenantKind { plan: "large", gateway_count: 1 }, TenantKind { plan: "small", gateway_count: GATEWAYS }];
+const TENANT_KINDS: [TenantKind; 2] = [
+    TenantKind { plan: "large", gateway_count: 1 },
+    TenantKind { plan: "small", gateway_count: GATEWAY_COUNT },
+];
 
-/// A quantile of latencies and its name in reports.
+/// A quantile of the latencies and its name in reports.
 struct Quantile {
     value: f64,
     name: &'static str,
@@ -39,7 +42,7 @@
 const QUANTILES: [Quantile; 2] =
     [Quantile { value: 0.5, name: "half" }, Quantile { value: 0.99, name: "99 in 100" }];
 
-/// A connection and the latencies of its requests, µs.
+/// A client connection and the latencies of its requests, µs.
 struct TimedClient {
     client: Client,
     latencies: Histogram<u64>,
@@ -51,6 +54,7 @@
         Ok(TimedClient { client: Client::connect(address)?, latencies })
     }
 
+    /// Sends a request, waits for the response and records the latency.
     fn time(&mut self, request: ClientRequest) -> Result<(), Error> {
         let started = Instant::now();
         self.client.send(request)?;
@@ -59,21 +63,22 @@
         Ok(())
     }
 
-    /// The latency within which a share of the requests were answered, ms.
+    /// The latency within which this share of the requests was answered, ms.
     fn quantile(&self, quantile: f64) -> f64 {
         self.latencies.value_at_quantile(quantile) as f64 / 1000.0
     }
 }
 
-/// Measures latency and processor time at each rate, for `seconds` each.
+/// Measures latency and processor time for each kind of tenant at each rate. One measurement takes `seconds`.
 ///
 /// # Errors
-/// If a process does not start, no port is free, or a request is not answered.
+/// Fails if a process does not start, no port is free, the gateway does not become ready, or a request is not
+/// answered.
 pub fn measure(program: &Path, repeats: usize, servers: usize, seconds: f64) -> Result<Report, Error> {
     let mut report = Report::default();
     let server = ServerStub::start()?;
-    let discovery = DiscoveryStub::start(complete(servers, server.address, Layout::Compact)?, 0)?;
-    let gateway = GatewayProcess::start_ready(program, discovery.address, GATEWAYS)?;
+    let discovery = DiscoveryStub::start(complete_list_json(servers, server.address, Layout::Compact)?, 0)?;
+    let gateway = GatewayProcess::start_ready(program, discovery.address, GATEWAY_COUNT)?;
     for _ in 0..repeats {
         for kind in TENANT_KINDS {
             for rate in RATES {
@@ -100,7 +105,7 @@
         let due = started + Duration::from_secs_f64(id as f64 / rate as f64);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let TenantKind { plan, gateway_count } = kind;
-        let request = ClientRequest { id, tenant: id % TENANTS, plan, gateway_count };
+        let request = ClientRequest { id, tenant: id % TENANT_COUNT, plan, gateway_count };
         direct.time(request)?;
         through_gateway.time(request)?;
     }
@@ -108,7 +113,7 @@
     let per_second = processor_time / started.elapsed().as_secs_f64();
     let mut add = |what: &str, unit, value| {
         let what = format!("{} customers: {what}", kind.plan);
-        report.sample(&what, "requests a second", unit, rate as f64, value);
+        report.add_sample(&what, "requests a second", unit, rate as f64, value);
     };
     add("processor time, whole process", "ms a second", per_second);
     for Quantile { value, name } in QUANTILES {
--- a/capacity/src/simulated_fleet/event.rs
+++ b/capacity/src/simulated_fleet/event.rs
@@ -1,6 +1,5 @@
-//! Events of the simulation. Those of the same microsecond happen in the order that is derived here, by
-//! variant and then field by field: another order of variants or fields gives other figures for the same
-//! seed.
+//! Events of the simulation. Events of the same microsecond happen in their derived order: by variant, and
+//! then field by field. If the order of variants or fields changes, the same seed gives other figures.
 
 use rate_limiting_gateway::event::{Event, Outcome};
 use rate_limiting_gateway::ids::{CounterKey, RequestId};
@@ -8,14 +7,14 @@
 /// Something that happens in the simulated fleet.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum FleetEvent {
-    /// A gateway's timer fires.
+    /// The timer of a gateway fires.
     Timer { gateway: u32 },
-    /// A counter call ends.
+    /// A counter call of a gateway ends.
     CounterReplied(CounterReply),
-    /// An attempt ends.
+    /// An attempt of a gateway ends.
     AttemptEnded(AttemptEnd),
     /// All servers of a zone stop.
-    ZoneLost { zone: u16 },
+    ZoneFailed { zone: u16 },
     /// All gateways are notified that a group of servers is draining, or ready after a start.
     ListChanged { group: ServerGroup, ready: bool },
 }
@@ -25,7 +24,7 @@
 pub(super) struct CounterReply {
     pub gateway: u32,
     pub key: CounterKey,
-    /// The counter's total as bits, which unlike `f64` have a total order.
+    /// The total as the bits of an `f64`, because `f64` does not implement `Ord`.
     pub total_bits: u64,
     pub result: CallResult,
     pub elapsed_micros: u64,
@@ -46,26 +45,26 @@
     pub id: RequestId,
     /// Index of the server.
     pub server: u32,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u8,
-    /// The server was up when the attempt began.
+    /// Whether the server was running when the attempt began.
     pub connected: bool,
 }
 
 /// Servers that stop and start together.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ServerGroup {
-    /// All of a zone.
+    /// All servers of a zone.
     Zone(u16),
-    /// Those that one step of a release replaces.
+    /// The servers that one step of a release replaces.
     ReleaseStep(u16),
 }
 
 impl ServerGroup {
-    /// One server in so many belongs to each step of a release, so that ten steps replace half of them.
+    /// Each step of a release replaces one server in this many, so ten steps replace half of the servers.
     const RELEASE_STRIDE: usize = 20;
 
-    /// Whether a server, by its index, is in the group.
+    /// Whether the server with this index is in the group.
     pub fn contains(self, server: usize, zones: usize) -> bool {
         match self {
             ServerGroup::Zone(zone) => server % zones == usize::from(zone),
@@ -75,7 +74,7 @@
 }
 
 impl CounterReply {
-    /// The event that the gateway gets.
+    /// Converts the reply to the event that the gateway handles.
     pub fn to_gateway_event(self) -> Event {
         let outcome = match self.result {
             CallResult::Answered => Outcome::Ok,
--- a/capacity/src/simulated_fleet/figures.rs
+++ b/capacity/src/simulated_fleet/figures.rs
@@ -1,23 +1,23 @@
-//! What a simulation counts, and the report of it.
+//! The figures of a simulation and their report.
 
 use super::event::CallResult;
-use super::servers::LoadSpread;
+use super::servers::LoadDistribution;
 use crate::measure::Report;
 
-/// Counts of the whole fleet, without those of the warm-up except where it is said.
+/// Counts of the whole fleet. They exclude the warm-up unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FleetCounts {
     pub requests: usize,
     pub attempts: usize,
     pub rejected_requests: usize,
-    /// Attempts that could not connect, the warm-up's among them.
+    /// Attempts that failed to connect or whose server stopped, including those of the warm-up.
     pub failed_attempts: usize,
     pub counter_calls: usize,
     pub timed_out_calls: usize,
     pub rejected_calls: usize,
-    /// Bytes of counter calls and their replies.
+    /// Bytes of the counter calls and their replies.
     pub counter_bytes: usize,
-    /// Endpoint list entries that gateways were notified of, the warm-up's among them.
+    /// Entries in the incremental endpoint lists that all gateways received, including the warm-up.
     pub list_entries: usize,
 }
 
@@ -34,30 +34,30 @@
     }
 }
 
-/// Everything that a simulation reports.
+/// All figures that a simulation reports.
 pub(super) struct FleetFigures {
     pub counts: FleetCounts,
-    /// Simulated seconds that were counted.
+    /// Simulated time after the warm-up, s.
     pub seconds: f64,
     pub gateways: usize,
-    /// Tenants that all gateways together remember in the end.
+    /// Sum over all gateways of the tenants that each keeps state for at the end.
     pub remembered_tenants: usize,
-    pub load: LoadSpread,
-    pub cost: FleetCost,
+    pub load: LoadDistribution,
+    pub cost: SimulationCost,
 }
 
-/// What the simulation took of the machine.
-pub(super) struct FleetCost {
-    /// Processor time of a request, µs.
+/// Processor time and memory that the simulation itself used.
+pub(super) struct SimulationCost {
+    /// Processor time for each request, µs.
     pub processor_time: f64,
-    /// Resident memory that the endpoint list takes at a gateway, bytes.
+    /// Resident memory of the endpoint list at one gateway, bytes.
     pub list_memory: usize,
-    /// Resident memory of the process in the end, bytes.
+    /// Resident memory of the process at the end, bytes.
     pub resident_memory: usize,
 }
 
 impl FleetFigures {
-    /// The figures by their names in reports.
+    /// Creates the report with the label of each figure.
     pub fn report(&self) -> Report {
         let mut report = Report::default();
         self.add_requests(&mut report);
@@ -70,47 +70,47 @@
 
     fn add_requests(&self, report: &mut Report) {
         let counts = &self.counts;
-        report.fact("requests", counts.requests as f64, "");
-        report.fact("attempts a request", ratio(counts.attempts, counts.requests), "");
-        report.fact("requests refused", ratio(counts.rejected_requests, counts.requests), "of all");
+        report.add_fact("requests", counts.requests as f64, "");
+        report.add_fact("attempts a request", ratio(counts.attempts, counts.requests), "");
+        report.add_fact("requests refused", ratio(counts.rejected_requests, counts.requests), "of all");
         let failed = ratio(counts.failed_attempts, counts.attempts);
-        report.fact("attempts that could not connect", failed, "of all");
+        report.add_fact("attempts that could not connect", failed, "of all");
     }
 
     fn add_counter_calls(&self, report: &mut Report) {
         let counts = &self.counts;
         let calls = counts.counter_calls;
-        report.fact("calls to the counter a request", ratio(calls, counts.requests), "");
-        report.fact("calls a second, whole fleet", calls as f64 / self.seconds, "");
-        report.fact("calls with no answer in time", ratio(counts.timed_out_calls, calls), "of all");
-        report.fact("calls turned away", ratio(counts.rejected_calls, calls), "of all");
+        report.add_fact("calls to the counter a request", ratio(calls, counts.requests), "");
+        report.add_fact("calls a second, whole fleet", calls as f64 / self.seconds, "");
+        report.add_fact("calls with no answer in time", ratio(counts.timed_out_calls, calls), "of all");
+        report.add_fact("calls turned away", ratio(counts.rejected_calls, calls), "of all");
         let bytes = counts.counter_bytes as f64 / self.seconds / self.gateways as f64;
-        report.fact("to and from the counter, a limiter", bytes, "bytes a second");
+        report.add_fact("to and from the counter, a limiter", bytes, "bytes a second");
     }
 
     fn add_state(&self, report: &mut Report) {
         let tenants = ratio(self.remembered_tenants, self.gateways);
-        report.fact("customers remembered, a limiter", tenants, "");
-        report.fact("entries told by changes, whole fleet", self.counts.list_entries as f64, "");
+        report.add_fact("customers remembered, a limiter", tenants, "");
+        report.add_fact("entries told by changes, whole fleet", self.counts.list_entries as f64, "");
     }
 
     fn add_load(&self, report: &mut Report) {
         let load = &self.load;
-        report.fact("attempts a server, mean", load.mean, "");
-        report.fact("attempts a server, greatest over mean", load.max / load.mean, "");
-        report.fact("attempts a server, deviation over mean", load.deviation / load.mean, "");
-        report.fact("the same by chance alone", 1.0 / load.mean.sqrt(), "");
-        report.fact("servers that got nothing", load.idle as f64, "");
+        report.add_fact("attempts a server, mean", load.mean, "");
+        report.add_fact("attempts a server, greatest over mean", load.max / load.mean, "");
+        report.add_fact("attempts a server, deviation over mean", load.deviation / load.mean, "");
+        report.add_fact("the same by chance alone", 1.0 / load.mean.sqrt(), "");
+        report.add_fact("servers that got nothing", load.idle as f64, "");
     }
 
     fn add_cost(&self, report: &mut Report) {
         let cost = &self.cost;
-        report.fact("processor time a request, simulator included", cost.processor_time, "µs");
-        report.fact("memory of the lists, a limiter", cost.list_memory as f64, "bytes");
-        report.fact("memory in the end, whole fleet", cost.resident_memory as f64 / 1e9, "GB");
+        report.add_fact("processor time a request, simulator included", cost.processor_time, "µs");
+        report.add_fact("memory of the lists, a limiter", cost.list_memory as f64, "bytes");
+        report.add_fact("memory in the end, whole fleet", cost.resident_memory as f64 / 1e9, "GB");
     }
 }
 
-fn ratio(value: usize, of: usize) -> f64 {
-    value as f64 / of.max(1) as f64
+fn ratio(part: usize, whole: usize) -> f64 {
+    part as f64 / whole.max(1) as f64
 }
--- a/capacity/src/simulated_fleet/fleet.rs
+++ b/capacity/src/simulated_fleet/fleet.rs
@@ -1,11 +1,11 @@
-//! The event loop of the simulation: arrivals and scheduled events go to the gateways, and the actions of
-//! these schedule further events.
+//! The event loop of the simulation. The gateways handle arriving requests and scheduled events, and their
+//! actions schedule further events.
 
 use super::event::{AttemptEnd, CallResult, CounterReply, FleetEvent, ServerGroup};
 use super::figures::FleetCounts;
 use super::scenario::{Scenario, START};
-use super::servers::{LoadSpread, SimulatedServers};
-use crate::deployment::{call_bytes, Demand, Deployment};
+use super::servers::{LoadDistribution, SimulatedServers};
+use crate::deployment::{counter_call_bytes, Demand, Deployment};
 use crate::simulation::{
     attempt_ended, complete_list, incremental_list, micros, CounterStub, EventQueue, SeededRng,
 };
@@ -15,14 +15,15 @@
 use rate_limiting_gateway::policy::{counter_call_timeout, Gateway};
 use std::collections::HashMap;
 
-/// Period of the gateways' timers, ms; their first ones are spread over it.
+/// Period of the gateways' timers, ms. The first firing of each timer is at a random time within this period.
 const TIMER_PERIOD: Millis = 20.0;
+/// Number of partitions of the counter service. Each executes one call at a time.
 const COUNTER_PARTITIONS: usize = 6;
-/// The counter rejects a call that would wait in its queue for so many counter time-outs.
+/// The counter rejects a call that would wait in its queue for more than this many counter time-outs.
 const COUNTER_QUEUE_TIMEOUTS: f64 = 3.0;
-/// Time of a counter call and its reply on the network, ms.
+/// Network latency of a counter call and its reply together, ms.
 const COUNTER_LATENCY: Millis = 1.0;
-/// Duration of an attempt as gateways are notified of it, ms; in the middle of what it takes.
+/// Duration of every attempt as reported to the gateways, ms. It is the middle of the range of service times.
 const REPORTED_LATENCY: Millis = 40.0;
 
 /// An event for one gateway.
@@ -31,18 +32,19 @@
     event: Event,
 }
 
-/// How a counter call will end.
+/// The result of a counter call, determined when the call starts.
 struct CallEnd {
     result: CallResult,
-    /// Time to its end, ms.
+    /// Time from the start to the end of the call, ms.
     elapsed: Millis,
     /// The counter's total after the call.
     total: f64,
 }
 
-/// A fleet in the middle of its simulation.
+/// The state of a running simulation.
 pub(super) struct SimulatedFleet {
     deployment: Deployment,
+    /// Time at which the warm-up ends and counting begins, ms.
     counting_from: Millis,
     end: Millis,
     demand: Demand,
@@ -54,20 +56,20 @@
     gateways: Vec<Gateway>,
     servers: SimulatedServers,
     counter: CounterStub,
-    /// How long gateways wait for the counter, ms.
+    /// Time-out of the gateways for a counter call, ms.
     counter_timeout: Millis,
-    /// Attempts that each request has had.
+    /// Number of attempts that each request has had.
     attempts: HashMap<RequestId, u8>,
     counts: FleetCounts,
 }
 
 impl SimulatedFleet {
-    /// A fleet whose gateways have their endpoint lists.
+    /// Creates a fleet whose gateways have received their endpoint lists.
     pub fn new(scenario: &Scenario) -> Self {
         let deployment = scenario.deployment;
         let settings = deployment.settings();
         let gateway = |index| Gateway::new(settings.clone(), scenario.seed << 16 ^ index);
-        let max_queueing = COUNTER_QUEUE_TIMEOUTS * settings.counter_timeout;
+        let max_queue_delay = COUNTER_QUEUE_TIMEOUTS * settings.counter_timeout;
         let calls_per_second = scenario.counter_calls_per_second();
         let mut fleet = SimulatedFleet {
             deployment,
@@ -81,7 +83,7 @@
             next_request: 0,
             gateways: (0..deployment.gateways as u64).map(gateway).collect(),
             servers: SimulatedServers::new(deployment.servers, deployment.zones),
-            counter: CounterStub::new(COUNTER_PARTITIONS, calls_per_second, max_queueing),
+            counter: CounterStub::new(COUNTER_PARTITIONS, calls_per_second, max_queue_delay),
             counter_timeout: counter_call_timeout(&settings),
             attempts: HashMap::new(),
             counts: FleetCounts::default(),
@@ -119,31 +121,32 @@
         }
     }
 
-    /// Requests that the rate gives for the time simulated so far, the warm-up's among them.
+    /// Expected number of requests in the time simulated so far, including the warm-up.
     pub fn expected_requests(&self) -> usize {
         (micros(self.now - START) as f64 / 1e6 * self.deployment.rate) as usize
     }
 
-    /// What was counted so far.
+    /// The counts so far.
     pub fn counts(&self) -> FleetCounts {
         self.counts
     }
 
-    /// Tenants that all gateways together remember.
+    /// Sum over all gateways of the tenants that each keeps state for.
     pub fn remembered_tenants(&self) -> usize {
         self.gateways.iter().map(Gateway::tenant_count).sum()
     }
 
-    /// How evenly the counted attempts fell on the servers.
-    pub fn load_spread(&self) -> LoadSpread {
-        self.servers.load_spread()
+    /// How evenly the counted attempts were distributed over the servers.
+    pub fn load_distribution(&self) -> LoadDistribution {
+        self.servers.load_distribution()
     }
 
     fn is_counted(&self) -> bool {
         self.now >= self.counting_from
     }
 
-    /// Advances the clock to the next arrival or event, and gives what it means for gateways.
+    /// Advances the clock to the next arrival or scheduled event, and returns the events that gateways have
+    /// to handle.
     fn next_gateway_events(&mut self) -> Vec<GatewayEvent> {
         let next_micros = self.queue.next_micros().unwrap_or(u64::MAX);
         if micros(self.next_arrival) <= next_micros {
@@ -157,8 +160,8 @@
     fn next_request(&mut self) -> GatewayEvent {
         self.now = self.next_arrival.max(self.now);
         self.next_arrival += self.rng.interarrival(self.deployment.rate);
-        let tenant = self.demand.draw(&mut self.rng);
-        let gateway = self.demand.gateway(tenant, &mut self.rng);
+        let tenant = self.demand.draw_tenant(&mut self.rng);
+        let gateway = self.demand.draw_gateway(tenant, &mut self.rng);
         let request = self.demand.request(self.next_request, tenant);
         self.next_request += 1;
         self.counts.requests += usize::from(self.is_counted());
@@ -174,11 +177,11 @@
                 vec![GatewayEvent { gateway: reply.gateway as usize, event: reply.to_gateway_event() }]
             }
             FleetEvent::AttemptEnded(end) => vec![self.end_attempt(end)],
-            FleetEvent::ZoneLost { zone } => {
-                self.servers.set_up(ServerGroup::Zone(zone), false);
+            FleetEvent::ZoneFailed { zone } => {
+                self.servers.set_running(ServerGroup::Zone(zone), false);
                 Vec::new()
             }
-            FleetEvent::ListChanged { group, ready } => self.change_list(group, ready),
+            FleetEvent::ListChanged { group, ready } => self.update_endpoint_lists(group, ready),
         }
     }
 
@@ -191,14 +194,14 @@
         GatewayEvent { gateway: end.gateway as usize, event }
     }
 
-    fn change_list(&mut self, group: ServerGroup, ready: bool) -> Vec<GatewayEvent> {
+    fn update_endpoint_lists(&mut self, group: ServerGroup, ready: bool) -> Vec<GatewayEvent> {
         let state = if ready { EndpointState::Ready } else { EndpointState::Draining };
         let started = if ready { self.now } else { 0.0 };
         let members = self.servers.members(group);
         let entries: Vec<Endpoint> =
             members.into_iter().map(|server| self.deployment.entry(server, state, started)).collect();
         if ready {
-            self.servers.set_up(group, true);
+            self.servers.set_running(group, true);
         }
         let gateways = self.gateways.len();
         self.counts.list_entries += entries.len() * gateways;
@@ -236,9 +239,9 @@
     }
 
     fn call_counter(&mut self, gateway: usize, key: CounterKey, add: f64, ttl: Millis) {
-        let end = self.end_of_call(key, add);
+        let end = self.simulate_call(key, add);
         if self.is_counted() {
-            self.counts.add_call(end.result, call_bytes(key, add, ttl, end.total));
+            self.counts.add_call(end.result, counter_call_bytes(key, add, ttl, end.total));
         }
         let reply = CounterReply {
             gateway: gateway as u32,
@@ -250,7 +253,7 @@
         self.queue.schedule(self.now + end.elapsed, FleetEvent::CounterReplied(reply));
     }
 
-    fn end_of_call(&mut self, key: CounterKey, add: f64) -> CallEnd {
+    fn simulate_call(&mut self, key: CounterKey, add: f64) -> CallEnd {
         let Some(call) = self.counter.accept(self.now, key, add) else {
             return CallEnd { result: CallResult::Rejected, elapsed: COUNTER_LATENCY, total: 0.0 };
         };
--- a/capacity/src/simulated_fleet/servers.rs
+++ b/capacity/src/simulated_fleet/servers.rs
@@ -1,40 +1,41 @@
-//! The servers of a simulated fleet: which are up, how busy they are and how many attempts they got.
+//! The servers of a simulated fleet: whether each is running, its attempts in flight and its counted
+//! attempts.
 
 use super::event::ServerGroup;
 use crate::simulation::SeededRng;
 use rate_limiting_gateway::ids::Millis;
 
-/// Work of a request on a server that is not busy, ms.
+/// Range of the response time of a server that is not overloaded, ms.
 const SERVICE_TIME: std::ops::Range<Millis> = 20.0..60.0;
-/// Requests that a server works on at once without slowing down.
-const SLOTS: f64 = 8.0;
-/// A connection to a server that is down fails after this, ms.
+/// Number of requests that a server can process at the same time without slowing down.
+const SERVER_CONCURRENCY: f64 = 8.0;
+/// Time after which connecting to a server that is not running fails, ms.
 const CONNECT_TIMEOUT: Millis = 250.0;
 
 struct SimulatedServer {
-    up: bool,
+    running: bool,
     in_flight: f64,
-    /// Attempts that were counted.
+    /// Number of counted attempts, those after the warm-up.
     attempts: u32,
 }
 
-/// How an attempt will go on, as far as it is known when it begins.
+/// The part of an attempt's result that is determined when the attempt begins.
 pub(super) struct StartedAttempt {
-    /// The server was up.
+    /// Whether the server was running.
     pub connected: bool,
-    /// Time to its end, ms.
+    /// Duration of the attempt, ms.
     pub elapsed: Millis,
 }
 
-/// How evenly attempts fell on the servers.
-pub(super) struct LoadSpread {
-    /// Attempts a server.
+/// How evenly the counted attempts were distributed over the servers.
+pub(super) struct LoadDistribution {
+    /// Mean number of attempts per server.
     pub mean: f64,
-    /// Those of the server that got the most.
+    /// Largest number of attempts of a server.
     pub max: f64,
-    /// Standard deviation over all servers.
+    /// Standard deviation of the number of attempts per server.
     pub deviation: f64,
-    /// Servers that got none.
+    /// Number of servers without any attempt.
     pub idle: usize,
 }
 
@@ -45,52 +46,55 @@
 }
 
 impl SimulatedServers {
-    /// Servers that are up, spread over zones.
+    /// Creates running servers, distributed evenly over the zones.
     pub fn new(count: usize, zones: usize) -> Self {
-        let server = |_| SimulatedServer { up: true, in_flight: 0.0, attempts: 0 };
+        let server = |_| SimulatedServer { running: true, in_flight: 0.0, attempts: 0 };
         SimulatedServers { servers: (0..count).map(server).collect(), zones }
     }
 
-    /// Begins an attempt; `counted` tells whether it is in the figures.
+    /// Begins an attempt. `counted` states whether the attempt is included in the figures.
     pub fn begin_attempt(&mut self, server: u32, counted: bool, rng: &mut SeededRng) -> StartedAttempt {
         let server = &mut self.servers[server as usize];
         let service_time = rng.between(SERVICE_TIME.start, SERVICE_TIME.end);
         server.attempts += u32::from(counted);
-        if !server.up {
+        if !server.running {
             return StartedAttempt { connected: false, elapsed: CONNECT_TIMEOUT };
         }
         server.in_flight += 1.0;
-        StartedAttempt { connected: true, elapsed: service_time * (server.in_flight / SLOTS).max(1.0) }
+        StartedAttempt {
+            connected: true,
+            elapsed: service_time * (server.in_flight / SERVER_CONCURRENCY).max(1.0),
+        }
     }
 
-    /// Ends an attempt; whether it was served.
+    /// Ends an attempt, and returns whether the server answered it.
     pub fn end_attempt(&mut self, server: u32, connected: bool) -> bool {
         let server = &mut self.servers[server as usize];
         if connected {
             server.in_flight -= 1.0;
         }
-        connected && server.up
+        connected && server.running
     }
 
-    /// Indices of a group's servers.
+    /// Indices of the servers in a group.
     pub fn members(&self, group: ServerGroup) -> Vec<usize> {
         (0..self.servers.len()).filter(|server| group.contains(*server, self.zones)).collect()
     }
 
-    /// Stops or starts a group's servers.
-    pub fn set_up(&mut self, group: ServerGroup, up: bool) {
+    /// Starts or stops the servers of a group.
+    pub fn set_running(&mut self, group: ServerGroup, running: bool) {
         for server in self.members(group) {
-            self.servers[server].up = up;
+            self.servers[server].running = running;
         }
     }
 
-    /// How evenly the counted attempts fell on the servers.
-    pub fn load_spread(&self) -> LoadSpread {
+    /// Computes how evenly the counted attempts were distributed over the servers.
+    pub fn load_distribution(&self) -> LoadDistribution {
         let count = self.servers.len() as f64;
         let attempts = || self.servers.iter().map(|server| f64::from(server.attempts));
         let mean = attempts().sum::<f64>() / count;
         let variance = attempts().map(|attempts| (attempts - mean).powi(2)).sum::<f64>() / count;
-        LoadSpread {
+        LoadDistribution {
             mean,
             max: attempts().fold(0.0, f64::max),
             deviation: variance.sqrt(),
--- a/capacity/src/stub_peers/client.rs
+++ b/capacity/src/stub_peers/client.rs
@@ -1,34 +1,34 @@
-//! A client's connection, to a gateway or straight to a server.
+//! A client connection to a gateway, or directly to a server.
 
 use super::connection::read_head;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest wait for a response.
+/// Time-out for reading a response.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What tells one request from another.
+/// The parameters in which requests differ.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
-    /// The correlation id.
+    /// Correlation id of the request.
     pub id: usize,
-    /// The tenant.
+    /// Number of the tenant.
     pub tenant: usize,
     /// Name of the tenant's plan.
     pub plan: &'static str,
-    /// Gateways through which the tenant's requests come in.
+    /// Number of gateways that receive the tenant's requests.
     pub gateway_count: usize,
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects.
+    /// Connects to a gateway or server.
     ///
     /// # Errors
-    /// If nobody listens.
+    /// Fails if the address does not accept the connection.
     pub fn connect(address: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -39,7 +39,7 @@
     /// Writes a request of an idempotent class.
     ///
     /// # Errors
-    /// If the connection is lost.
+    /// Fails if the connection is lost.
     pub fn send(&mut self, request: ClientRequest) -> std::io::Result<()> {
         let ClientRequest { id, tenant, plan, gateway_count } = request;
         let text = format!(
@@ -55,10 +55,10 @@
         self.0.get_mut().write_all(text.as_bytes())
     }
 
-    /// Reads a response, and returns its status.
+    /// Reads a response and returns its status code.
     ///
     /// # Errors
-    /// If none comes in time.
+    /// Fails if no valid response arrives within the time-out.
     pub fn read(&mut self) -> std::io::Result<u16> {
         let no_response = || std::io::Error::other("no response");
         let head = read_head(&mut self.0).ok_or_else(no_response)?;
@@ -66,17 +66,17 @@
         head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(no_response)
     }
 
-    /// Asks a gateway whether it is ready to serve.
+    /// Asks a gateway whether it is ready to serve requests.
     ///
     /// # Errors
-    /// If no response comes in time.
+    /// Fails if no valid response arrives within the time-out.
     pub fn is_ready(&mut self) -> std::io::Result<bool> {
         self.0.get_mut().write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")?;
         Ok(self.read()? == 200)
     }
 }
 
-/// The stated length of a body; 0 where there is none.
+/// The value of the `Content-Length` header; 0 if it is missing or invalid.
 fn content_length(head: &str) -> usize {
     let head = head.to_ascii_lowercase();
     let value = head.split("content-length:").nth(1).and_then(|rest| rest.split('\r').next());
--- a/capacity/src/stub_peers/connection.rs
+++ b/capacity/src/stub_peers/connection.rs
@@ -1,10 +1,10 @@
-//! Connections of a stub: a thread for each, and the heads of HTTP messages on them.
+//! Accepts the connections of a stub, and reads the heads of HTTP messages.
 
 use std::io::BufRead;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 
-/// Serves each connection of a new listener in a thread of its own.
+/// Opens a listener on loopback and serves each connection in its own thread. Returns the listener's address.
 pub(super) fn listen(
     serve: impl Fn(TcpStream) -> std::io::Result<()> + Send + Sync + 'static,
 ) -> std::io::Result<SocketAddr> {
@@ -14,14 +14,14 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
-            // A connection that is lost ends its thread and concerns nobody else.
+            // An error on a connection ends its thread and does not affect other connections.
             std::thread::spawn(move || serve(stream));
         }
     });
     Ok(address)
 }
 
-/// Reads the head of an HTTP message; none at the end of the connection.
+/// Reads the head of an HTTP message. Returns `None` if the connection ends or fails.
 pub(super) fn read_head(reader: &mut impl BufRead) -> Option<String> {
     let mut text = String::new();
     while !text.ends_with("\r\n\r\n") {
--- a/capacity/src/stub_peers/counter.rs
+++ b/capacity/src/stub_peers/counter.rs
@@ -4,10 +4,10 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
 
-/// Starts a counter that answers every call at once with the same total.
+/// Starts a counter that answers every call immediately with the total 1, and returns its address.
 ///
 /// # Errors
-/// If no port is free.
+/// Fails if no port is free.
 pub fn start_counter() -> std::io::Result<SocketAddr> {
     listen(|mut stream| {
         stream.set_nodelay(true)?;
--- a/capacity/src/stub_peers/mod.rs
+++ b/capacity/src/stub_peers/mod.rs
@@ -1,6 +1,6 @@
-//! Stubs of a real gateway's peers on loopback: a discovery agent, a counter, a server and a client. They
-//! return errors and do no more than they must, unlike the stubs of the tests, so that they cost little
-//! beside the gateway.
+//! Stubs of a gateway's peers on loopback: a discovery agent, a counter, a server and a client. Unlike the
+//! stubs of the tests, they return errors and do only the necessary work, so that they use little processor
+//! time compared with the gateway.
 
 mod client;
 mod connection;
--- a/capacity/src/stub_peers/server.rs
+++ b/capacity/src/stub_peers/server.rs
@@ -1,4 +1,4 @@
-//! A server that answers every request with a few bytes.
+//! A stub of a server that answers every request with a small response.
 
 use super::connection::{listen, read_head};
 use std::io::{BufReader, Write};
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a connection looks whether responses are still held back.
+/// Pause between two checks whether responses are still held back.
 const HOLD_POLL: Duration = Duration::from_millis(5);
 
-/// A server that answers every request at once, or once it may.
+/// A server that answers every request immediately, or after its responses are no longer held back.
 pub struct ServerStub {
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
     requests: Arc<AtomicUsize>,
     held: Arc<AtomicBool>,
@@ -22,7 +22,7 @@
     /// Starts a server.
     ///
     /// # Errors
-    /// If no port is free.
+    /// Fails if no port is free.
     pub fn start() -> std::io::Result<ServerStub> {
         let requests = Arc::new(AtomicUsize::new(0));
         let held = Arc::new(AtomicBool::new(false));
@@ -42,12 +42,12 @@
         Ok(ServerStub { address, requests, held })
     }
 
-    /// Requests that have come in.
+    /// Number of requests received.
     pub fn requests(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
     }
 
-    /// Holds back all responses, or releases them.
+    /// Holds back all responses, or sends those held back.
     pub fn hold_responses(&self, hold: bool) {
         self.held.store(hold, Ordering::SeqCst);
     }
--- a/capacity/tests/simulated_fleet_figures.rs
+++ b/capacity/tests/simulated_fleet_figures.rs
@@ -1,11 +1,12 @@
-//! The simulated fleet gives the same figures for the same seeds as when these were recorded: by the program
-//! of commit 5f6c989, before the simulation was divided into modules. Processor time and memory are left out.
+//! For the same seeds, the simulated fleet must give the figures recorded here, so a change of the simulation
+//! or of the gateways' decisions shows. The program of commit 5f6c989 recorded them, before the simulation
+//! was divided into modules. Processor time and memory are not compared.
 
 use gateway_capacity::deployment::Deployment;
 use gateway_capacity::measure::Report;
 use gateway_capacity::simulated_fleet::{run, Fault, Scenario};
 
-/// What the recorded figures count, in the order of a report.
+/// Labels of the recorded figures, in the order of the report.
 const FIGURES: [&str; 16] = [
     "requests",
     "attempts a request",
@@ -29,9 +30,10 @@
 struct Recorded {
     fault: Fault,
     seed: u64,
-    /// Share of the requests for which the counter executes calls; 0: any number.
+    /// Calls per second that the counter can execute, as a multiple of the requests per second; 0 means that
+    /// there is no limit.
     counter_capacity: f64,
-    /// Gateways through which one tenant's requests come in; 0: all.
+    /// Number of gateways that receive one tenant's requests; 0 means all gateways.
     gateways_per_tenant: usize,
     figures: [f64; FIGURES.len()],
 }
@@ -207,6 +209,7 @@
     },
 ];
 
+/// Whether the figure is processor time or memory, which differs from run to run.
 fn is_cost_of_simulation(what: &str) -> bool {
     what.starts_with("processor time") || what.starts_with("memory")
 }
@@ -235,10 +238,14 @@
         let report = report_of(recorded);
         let facts: Vec<_> = report.facts.iter().filter(|fact| !is_cost_of_simulation(&fact.what)).collect();
         let names: Vec<&str> = facts.iter().map(|fact| fact.what.as_str()).collect();
-        assert_eq!(names, FIGURES);
+        assert_eq!(names, FIGURES, "the labels of the report differ from the recorded labels");
         for (fact, expected) in facts.iter().zip(recorded.figures) {
             let (fault, seed) = (recorded.fault, recorded.seed);
-            assert_eq!(fact.value, expected, "{}, fault {fault:?}, seed {seed}", fact.what);
+            assert_eq!(
+                fact.value, expected,
+                "{} differs from the recorded figure, fault {fault:?}, seed {seed}",
+                fact.what
+            );
         }
     }
 }
