--- a/capacity/src/deployment.rs
+++ b/capacity/src/deployment.rs
@@ -23,7 +23,7 @@
 }
 
 impl Default for Deployment {
-    /// The fleet size and traffic that the operators plan for in two years.
+    /// The planned deployment: fleet size and traffic of the operators' two-year plan.
     fn default() -> Self {
         Deployment {
             gateways: 530,
--- a/capacity/src/error.rs
+++ b/capacity/src/error.rs
@@ -18,13 +18,13 @@
     /// The gateway logged an address that cannot be parsed.
     Address(AddrParseError),
     /// The gateway's log cannot be read, because its standard error is not connected to a pipe.
-    NoLog,
+    StderrNotPiped,
     /// The gateway exited before it logged the address that it serves.
-    Exited,
+    ExitedBeforeServing,
     /// The gateway did not become ready within the time-out.
     NotReady,
     /// A `memory-one` process did not print a number.
-    NoFigure,
+    InvalidMemoryOutput,
     /// `memory-one` was called with an unknown kind of state.
     UnknownKind(String),
 }
@@ -37,10 +37,14 @@
             Error::HistogramCreation(error) => write!(f, "cannot create a latency histogram: {error}"),
             Error::HistogramRecord(error) => write!(f, "cannot record a latency in the histogram: {error}"),
             Error::Address(error) => write!(f, "cannot parse the address in the gateway's log: {error}"),
-            Error::NoLog => write!(f, "cannot read the gateway's log: its standard error is not piped"),
-            Error::Exited => write!(f, "the gateway exited before it logged the address that it serves"),
+            Error::StderrNotPiped => {
+                write!(f, "cannot read the gateway's log: its standard error is not piped")
+            }
+            Error::ExitedBeforeServing => {
+                write!(f, "the gateway exited before it logged the address that it serves")
+            }
             Error::NotReady => write!(f, "the gateway did not become ready within the time-out"),
-            Error::NoFigure => write!(f, "a `memory-one` process did not print a number"),
+            Error::InvalidMemoryOutput => write!(f, "a `memory-one` process did not print a number"),
             Error::UnknownKind(kind) => write!(f, "unknown kind of state: {kind}"),
         }
     }
@@ -54,7 +58,11 @@
             Error::HistogramCreation(error) => Some(error),
             Error::HistogramRecord(error) => Some(error),
             Error::Address(error) => Some(error),
-            Error::NoLog | Error::Exited | Error::NotReady | Error::NoFigure | Error::UnknownKind(_) => None,
+            Error::StderrNotPiped
+            | Error::ExitedBeforeServing
+            | Error::NotReady
+            | Error::InvalidMemoryOutput
+            | Error::UnknownKind(_) => None,
         }
     }
 }
--- a/capacity/src/measure.rs
+++ b/capacity/src/measure.rs
@@ -58,11 +58,11 @@
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.x).sum::<f64>() / n;
     let mean_y = points.iter().map(|p| p.y).sum::<f64>() / n;
-    let spread: f64 = points.iter().map(|p| (p.x - mean_x).powi(2)).sum();
-    let slope = points.iter().map(|p| (p.x - mean_x) * (p.y - mean_y)).sum::<f64>() / spread;
+    let squared_deviations: f64 = points.iter().map(|p| (p.x - mean_x).powi(2)).sum();
+    let slope = points.iter().map(|p| (p.x - mean_x) * (p.y - mean_y)).sum::<f64>() / squared_deviations;
     let base = mean_y - slope * mean_x;
     let residuals: f64 = points.iter().map(|p| (p.y - base - slope * p.x).powi(2)).sum();
-    Fit { base, slope, error: (residuals / (n - 2.0).max(1.0) / spread).sqrt() }
+    Fit { base, slope, error: (residuals / (n - 2.0).max(1.0) / squared_deviations).sqrt() }
 }
 
 /// A figure that was measured at several sizes.
@@ -141,7 +141,7 @@
 
 impl Fact {
     fn text(&self) -> String {
-        format!("{}: {} {}\n", self.what, short(self.value), self.unit)
+        format!("{}: {} {}\n", self.what, format_value(self.value), self.unit)
     }
 
     fn json(&self) -> Value {
@@ -153,13 +153,15 @@
     fn text(&self) -> String {
         let mut text = format!("{}, {} by {}\n", self.what, self.unit, self.by);
         for point in &self.points {
-            let (median, min, max) = (short(point.median()), short(point.min()), short(point.max()));
+            let (median, min, max) =
+                (format_value(point.median()), format_value(point.min()), format_value(point.max()));
             let samples = point.samples.len();
             text += &format!("  {:>9}: {median} ({min} to {max}, n={samples})\n", point.size);
         }
         if self.points.len() > 2 {
             let fit = self.fit();
-            let (base, slope, error) = (short(fit.base), short(fit.slope), short(fit.error));
+            let (base, slope, error) =
+                (format_value(fit.base), format_value(fit.slope), format_value(fit.error));
             text += &format!("  slope {slope} ± {error} each, {base} at 0\n");
         }
         text
@@ -181,7 +183,7 @@
 }
 
 /// Formats a value with about four significant digits.
-fn short(value: f64) -> String {
+fn format_value(value: f64) -> String {
     let digits = 3 - value.abs().max(1e-6).log10().floor() as i32;
     format!("{value:.*}", digits.clamp(0, 6) as usize)
 }
--- a/capacity/src/memory.rs
+++ b/capacity/src/memory.rs
@@ -170,7 +170,7 @@
                 let output =
                     Command::new(&program).args(["memory-one", name, &count.to_string()]).output()?;
                 let text = String::from_utf8_lossy(&output.stdout);
-                let bytes = text.trim().parse().map_err(|_| Error::NoFigure)?;
+                let bytes = text.trim().parse().map_err(|_| Error::InvalidMemoryOutput)?;
                 report.add_sample(
                     &format!("memory of a module, {name}s"),
                     name,
--- a/capacity/src/policy_cost/bench.rs
+++ b/capacity/src/policy_cost/bench.rs
@@ -46,7 +46,7 @@
 }
 
 impl InFlightAttempt {
-    fn ended(&self, outcome: Outcome) -> Event {
+    fn end_event(&self, outcome: Outcome) -> Event {
         attempt_ended(self.id, self.attempt, self.server, outcome, SLICE_LENGTH * RESPONSE_SLICES as f64)
     }
 }
@@ -151,9 +151,9 @@
         let due = self.in_flight.remove(&self.slice).unwrap_or_default();
         for (index, attempt) in due.into_iter().enumerate() {
             if attempt.attempt == 0 && (self.slice as usize * 31 + index) % FAILURE_STRIDE == 0 {
-                failed.push(attempt.ended(Outcome::ConnectFailed));
+                failed.push(attempt.end_event(Outcome::ConnectFailed));
             } else {
-                served.push(attempt.ended(Outcome::Ok));
+                served.push(attempt.end_event(Outcome::Ok));
             }
         }
         self.measure(served, |costs| &mut costs.served_attempt, costs);
@@ -168,13 +168,13 @@
                 TenantMix::Demand => self.demand.draw_tenant(&mut self.rng),
                 TenantMix::Uniform(tenants) => self.rng.index(tenants),
             };
-            requests.push(self.request_of(tenant));
+            requests.push(self.request_event(tenant));
             at += self.rng.interarrival(self.requests_per_second);
         }
         requests
     }
 
-    fn request_of(&mut self, tenant: usize) -> Event {
+    fn request_event(&mut self, tenant: usize) -> Event {
         let request = self.demand.request(self.next_request, tenant);
         self.next_request += 1;
         Event::Request(request)
@@ -225,7 +225,7 @@
         for tenant in 0..tenants {
             self.now += FIRST_REQUEST_INTERVAL;
             let mut actions = Vec::new();
-            let request = self.request_of(tenant);
+            let request = self.request_event(tenant);
             self.gateway.handle(self.now, request, &mut actions);
             while let Some(action) = actions.pop() {
                 if let Some(event) = self.immediate_reply(action) {
--- a/capacity/src/process/gateway_process.rs
+++ b/capacity/src/process/gateway_process.rs
@@ -39,7 +39,7 @@
         let started = Instant::now();
         let mut child =
             Command::new(program).env("PROXY_CONFIG", &config_path).stderr(Stdio::piped()).spawn()?;
-        let address = wait_for_address(child.stderr.take().ok_or(Error::NoLog)?)?;
+        let address = wait_for_address(child.stderr.take().ok_or(Error::StderrNotPiped)?)?;
         Ok(GatewayProcess { child, address, config_path, counter, gateways, started })
     }
 
@@ -104,7 +104,7 @@
 fn wait_for_address(log: ChildStderr) -> Result<SocketAddr, Error> {
     let mut lines = BufReader::new(log).lines();
     let address = loop {
-        let line = lines.next().ok_or(Error::Exited)??;
+        let line = lines.next().ok_or(Error::ExitedBeforeServing)??;
         if let Some((_, address)) = line.split_once(" serves ") {
             break address.parse()?;
         }
--- a/capacity/src/process/latency.rs
+++ b/capacity/src/process/latency.rs
@@ -55,7 +55,7 @@
     }
 
     /// Sends a request, waits for the response and records the latency.
-    fn time(&mut self, request: ClientRequest) -> Result<(), Error> {
+    fn measure_request(&mut self, request: ClientRequest) -> Result<(), Error> {
         let started = Instant::now();
         self.client.send(request)?;
         self.client.read()?;
@@ -106,8 +106,8 @@
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let TenantKind { plan, gateway_count } = kind;
         let request = ClientRequest { id, tenant: id % TENANT_COUNT, plan, gateway_count };
-        direct.time(request)?;
-        through_gateway.time(request)?;
+        direct.measure_request(request)?;
+        through_gateway.measure_request(request)?;
     }
     let processor_time = gateway.processor_time() - before;
     let per_second = processor_time / started.elapsed().as_secs_f64();
--- a/capacity/src/simulated_fleet/fleet.rs
+++ b/capacity/src/simulated_fleet/fleet.rs
@@ -141,6 +141,7 @@
         self.servers.load_distribution()
     }
 
+    /// Whether the warm-up is over, so that requests, attempts and calls are counted.
     fn is_counted(&self) -> bool {
         self.now >= self.counting_from
     }
--- a/capacity/tests/simulated_fleet_figures.rs
+++ b/capacity/tests/simulated_fleet_figures.rs
@@ -27,7 +27,7 @@
 ];
 
 /// A scenario and its recorded figures.
-struct Recorded {
+struct RecordedRun {
     fault: Fault,
     seed: u64,
     /// Calls per second that the counter can execute, as a multiple of the requests per second; 0 means that
@@ -38,8 +38,8 @@
     figures: [f64; FIGURES.len()],
 }
 
-const RECORDED: [Recorded; 7] = [
-    Recorded {
+const RECORDED: [RecordedRun; 7] = [
+    RecordedRun {
         fault: Fault::Zone,
         seed: 3,
         counter_capacity: 0.3,
@@ -63,7 +63,7 @@
             0.0,
         ],
     },
-    Recorded {
+    RecordedRun {
         fault: Fault::Zone,
         seed: 1,
         counter_capacity: 0.3,
@@ -87,7 +87,7 @@
             0.0,
         ],
     },
-    Recorded {
+    RecordedRun {
         fault: Fault::Release,
         seed: 3,
         counter_capacity: 0.3,
@@ -111,7 +111,7 @@
             0.0,
         ],
     },
-    Recorded {
+    RecordedRun {
         fault: Fault::Release,
         seed: 1,
         counter_capacity: 0.3,
@@ -135,7 +135,7 @@
             0.0,
         ],
     },
-    Recorded {
+    RecordedRun {
         fault: Fault::None,
         seed: 3,
         counter_capacity: 0.3,
@@ -159,7 +159,7 @@
             0.0,
         ],
     },
-    Recorded {
+    RecordedRun {
         fault: Fault::None,
         seed: 1,
         counter_capacity: 0.3,
@@ -183,7 +183,7 @@
             0.0,
         ],
     },
-    Recorded {
+    RecordedRun {
         fault: Fault::Zone,
         seed: 3,
         counter_capacity: 0.0,
@@ -214,7 +214,7 @@
     what.starts_with("processor time") || what.starts_with("memory")
 }
 
-fn report_of(recorded: &Recorded) -> Report {
+fn report_of(recorded: &RecordedRun) -> Report {
     let deployment = Deployment {
         gateways: 20,
         servers: 100,
