--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -26,7 +26,7 @@
 
 impl CounterClient {
     /// A client with all connections down. The caller ends each call after `call_timeout`, ms, by
-    /// [`CounterClient::complete`].
+    /// [`CounterClient::expire_call`].
     pub fn new(address: Option<SocketAddr>, call_timeout: Millis) -> Self {
         CounterClient {
             connections: Rc::new(ConnectionSet::new(address)),
@@ -51,7 +51,7 @@
 
     /// The service is at another address from now on. Each connection is used until its replacement is up and
     /// read until it owes no reply: a call is neither lost nor made twice.
-    pub fn move_to(&self, address: Option<SocketAddr>) {
+    pub fn set_address(&self, address: Option<SocketAddr>) {
         self.connections.set_address(address);
     }
 
@@ -72,7 +72,7 @@
 
     /// Ends a call that has timed out; none if its outcome has been reported before. A reply that comes later
     /// is matched to it and dropped.
-    pub fn complete(&self, id: CallId, now: Millis) -> Option<CompletedCall> {
+    pub fn expire_call(&self, id: CallId, now: Millis) -> Option<CompletedCall> {
         self.calls.complete(id, now)
     }
 
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -49,7 +49,7 @@
 
 impl<'a> EndpointList<'a> {
     /// The entries; an error for each that cannot be decoded.
-    pub fn members(&self) -> impl Iterator<Item = Result<EndpointEntry<'a>, serde_json::Error>> + '_ {
+    pub fn entries(&self) -> impl Iterator<Item = Result<EndpointEntry<'a>, serde_json::Error>> + '_ {
         self.members.iter().map(|member| serde_json::from_str(member.get()))
     }
 
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -52,7 +52,7 @@
 
     /// Watches another agent, if it is another. The list in force holds until the new agent has sent its own.
     /// Versions of two agents need not be comparable, so that is a complete one.
-    pub fn move_to<S: EndpointSink + Clone + 'static>(&mut self, sink: &S, agent: A) {
+    pub fn switch_agent<S: EndpointSink + Clone + 'static>(&mut self, sink: &S, agent: A) {
         if self.agent != agent {
             *self = WatcherHandle::start(sink, agent, None, self.limits);
         }
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -101,7 +101,7 @@
     /// Applies a list from discovery. Entries that cannot be decoded are logged and ignored.
     pub fn apply(&mut self, list: &EndpointList<'_>, update: EndpointUpdate) -> DecodedList {
         let mut decoded = DecodedList { endpoints: Vec::new(), complete: true };
-        for member in list.members() {
+        for member in list.entries() {
             match member.map_err(EndpointError::from).and_then(|member| self.register(&member)) {
                 Ok(endpoint) => decoded.endpoints.push(endpoint),
                 Err(error) => {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -360,7 +360,7 @@
     }
 
     fn counter_call_timed_out(self: &Rc<Self>, call: u64) {
-        if let Some(CompletedCall { key, elapsed }) = self.counter.complete(call, self.now()) {
+        if let Some(CompletedCall { key, elapsed }) = self.counter.expire_call(call, self.now()) {
             self.dispatch(Event::CounterReplied { key, outcome: Outcome::TimedOut, elapsed, total: 0.0 });
         }
     }
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -89,8 +89,8 @@
                     "configuration reloaded: discovery {}, counter {counter}; other settings need a restart",
                     config.discovery
                 );
-                self.discovery.move_to(&self.event_loop, config.discovery);
-                self.event_loop.counter().move_to(config.counter);
+                self.discovery.switch_agent(&self.event_loop, config.discovery);
+                self.event_loop.counter().set_address(config.counter);
             }
             Err(error) => {
                 log::error!("configuration reload failed, keeping the previous configuration: {error}")
--- a/tests/settings_values.rs
+++ b/tests/settings_values.rs
@@ -284,7 +284,7 @@
         format!("name {:?}, listen {}", config.name, config.listen),
         format!("discovery {}, counter {:?}", config.discovery, config.counter),
         format!("seed {:#x}", config.seed),
-        format!("known {:?}", config.known().map(|list| (list.revision, list.members().count()))),
+        format!("known {:?}", config.known().map(|list| (list.revision, list.entries().count()))),
         format!("limits {:?}, {:?} MB", config.limits.sockets, config.limits.memory_mb),
         format!("class names {:?}", config.names.classes),
         format!("plan names {:?}", config.names.plans),
--- a/tests/unit/endpoint_watcher.rs
+++ b/tests/unit/endpoint_watcher.rs
@@ -364,7 +364,7 @@
                     let elapsed = in_paused_time(|sink, limits| async move {
                         let (mut watcher, _agent) =
                             start_in_stage(&sink, limits, stage, mode, faulty_for).await;
-                        watcher.move_to(&sink, StubAgent::new(back, 2));
+                        watcher.switch_agent(&sink, StubAgent::new(back, 2));
                         until_drained(&sink).await
                     });
                     assert!(
@@ -384,7 +384,7 @@
                 let (mut watcher, _) =
                     start_in_stage(&sink, limits, Stage::Watching, AgentMode::HangsAtHead, STEP).await;
                 let agent = StubAgent::new(mode, 2);
-                watcher.move_to(&sink, agent.clone());
+                watcher.switch_agent(&sink, agent.clone());
                 sleep(faulty_for).await;
                 agent.0.mode.set(AgentMode::Healthy);
                 until_drained(&sink).await
--- a/tests/unit/json_framer.rs
+++ b/tests/unit/json_framer.rs
@@ -137,7 +137,7 @@
                     let entry_bytes: usize = raw.members.iter().map(|entry| entry.get().len()).sum();
                     // By the decoder of the list, and again by that of each entry.
                     parsed_bytes += object.len() + entry_bytes;
-                    decoded += list.members().filter(Result::is_ok).count();
+                    decoded += list.entries().filter(Result::is_ok).count();
                     lists += 1;
                 }
             }
