--- a/src/net/counter/exchange.rs
+++ b/src/net/counter/exchange.rs
@@ -142,8 +142,8 @@
     }
 
     /// Handles a complete line. An invalid line ends the connection, because it is unknown which call the
-    /// line answers. The oldest call stays pending, so that it is reported as possibly executed, like the later
-    /// calls that were written.
+    /// line answers. The oldest call stays pending, so that it is reported as possibly executed, like the
+    /// later calls that were written.
     fn handle_line(&self) -> Result<(), ExchangeError> {
         let reply = Reply::parse(&self.line)?;
         let answered = self.connection.match_reply(reply).map_err(|unmatched| match unmatched {
--- a/src/net/discovery/connect.rs
+++ b/src/net/discovery/connect.rs
@@ -1,4 +1,4 @@
-//! How a connection to a discovery agent is opened.
+//! Opens connections to a discovery agent.
 
 use std::fmt::Display;
 use std::future::Future;
@@ -6,15 +6,15 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// Opens connections to an agent. Displayed, it is the value of the `Host` header.
+/// Opens connections to an agent. The `Display` text is sent as the value of the `Host` header.
 pub trait Connect: Display {
-    /// A connection.
+    /// The type of the connections.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
 
     /// Opens a connection.
     ///
     /// # Errors
-    /// When the agent cannot be reached.
+    /// Returns an error if the agent cannot be reached.
     fn connect(&self) -> impl Future<Output = std::io::Result<Self::Stream>>;
 }
 
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,18 +1,19 @@
-//! Decodes endpoint lists.
+//! Decodes endpoint lists from JSON.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// A complete endpoint list, or the changes to one. Borrows the JSON text that it was decoded from.
+/// A complete endpoint list, or the changes since an earlier one. Borrows from the JSON text.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList<'a> {
-    /// The list's version.
+    /// The revision number of the list.
     pub revision: u64,
-    /// Whether it holds every endpoint, not only those that changed.
+    /// Whether the list holds every endpoint and not only the changed ones.
     #[serde(default)]
     pub complete: bool,
-    /// Decoded one by one, so that a malformed entry does not hide the others.
+    /// The entries, undecoded. Each one is decoded on its own, so that an invalid entry does not make the
+    /// others unreadable.
     #[serde(borrow)]
     members: Vec<&'a RawValue>,
 }
@@ -20,25 +21,25 @@
 /// One endpoint of a list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointEntry<'a> {
-    /// Its id, the same at every gateway.
+    /// The id of the endpoint, which is the same at every gateway.
     #[serde(borrow)]
     pub id: Cow<'a, str>,
-    /// Where it listens, as seen from this machine.
+    /// The host and port at which this machine reaches the endpoint.
     #[serde(borrow, default)]
     pub host_port: Cow<'a, str>,
-    /// Its zone.
+    /// The zone of the endpoint.
     #[serde(borrow, default)]
     pub locality: Cow<'a, str>,
-    /// Its cell.
+    /// The cell of the endpoint.
     #[serde(default)]
     pub cell: u16,
-    /// `Ready`, `Terminating` or `Gone`.
+    /// The state of the endpoint: `Ready`, `Terminating` or `Gone`.
     #[serde(borrow)]
     pub phase: Cow<'a, str>,
-    /// Its capacity relative to the others.
+    /// The capacity of the endpoint relative to the other endpoints.
     #[serde(default = "default_size")]
     pub size: f64,
-    /// When it last started, Unix ms; 0: long ago.
+    /// The time at which the endpoint last started, Unix time in ms; 0 means long ago.
     #[serde(default)]
     pub up_since_ms: f64,
 }
@@ -48,12 +49,12 @@
 }
 
 impl<'a> EndpointList<'a> {
-    /// The entries; an error for each that cannot be decoded.
+    /// Decodes the entries one by one. Yields an error for each entry that cannot be decoded.
     pub fn entries(&self) -> impl Iterator<Item = Result<EndpointEntry<'a>, serde_json::Error>> + '_ {
         self.members.iter().map(|member| serde_json::from_str(member.get()))
     }
 
-    /// The same list, taken for a complete one.
+    /// Returns the list marked as complete.
     pub(super) fn into_complete(self) -> Self {
         EndpointList { complete: true, ..self }
     }
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,71 +1,73 @@
-//! Why a call to the discovery agent or a watch has failed.
+//! The error type of requests to the discovery agent.
 
 use hyper::StatusCode;
 use std::error::Error;
 use std::fmt::{Display, Formatter};
 
-/// Why a call to the discovery agent or a watch has failed.
+/// The error type of requests to the discovery agent.
 #[derive(Debug)]
 pub enum DiscoveryError {
-    /// The connection cannot be opened.
+    /// The connection could not be opened.
     Connect(std::io::Error),
-    /// The connection was not open in time.
+    /// The connection was not opened in time.
     ConnectTimeout,
-    /// The request cannot be built for this agent's address.
-    Request(hyper::http::Error),
-    /// The connection or its HTTP framing has failed.
+    /// The request could not be built with this agent's address.
+    InvalidRequest(hyper::http::Error),
+    /// The connection failed, or the agent violated the HTTP protocol.
     Http(hyper::Error),
-    /// The response head did not come in time.
+    /// The response head did not arrive in time.
     ResponseTimeout,
-    /// The agent has answered, with another status than 200.
-    Refused(StatusCode),
-    /// The response body has ended where a list or a further event was due.
+    /// The agent responded with a status other than 200.
+    UnexpectedStatus(StatusCode),
+    /// The response body ended before a complete list was received, or while a watch was open.
     ResponseEnded,
-    /// Nothing has come between two objects for too long.
-    Idle,
-    /// An object has begun and was not complete in time.
+    /// No byte arrived in time while no object was incomplete.
+    IdleTimeout,
+    /// An object began and was not completed in time.
     ObjectTimeout,
     /// A complete list was not received in time.
     ListTimeout,
-    /// A byte that cannot stand where it does in a JSON object.
+    /// A byte is not valid at its position in a JSON object.
     InvalidByte {
         /// The byte.
         byte: u8,
-        /// Its position in the object, bytes.
+        /// The position of the byte in the object, bytes.
         offset: usize,
     },
-    /// An object over the limit.
+    /// An object is larger than the limit.
     ObjectTooLarge {
         /// The limit, bytes.
         max_bytes: usize,
     },
-    /// A JSON object that is no endpoint list.
+    /// A JSON object is not an endpoint list.
     InvalidList(serde_json::Error),
-    /// An entry of an incremental list cannot be decoded.
+    /// An entry of an incremental list could not be decoded.
     InvalidEntry,
 }
 
 impl Display for DiscoveryError {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
-            DiscoveryError::Connect(error) => write!(f, "cannot connect: {error}"),
-            DiscoveryError::ConnectTimeout => f.write_str("connecting timed out"),
-            DiscoveryError::Request(error) => write!(f, "invalid request: {error}"),
-            DiscoveryError::Http(error) => error.fmt(f),
-            DiscoveryError::ResponseTimeout => f.write_str("no response in time"),
-            DiscoveryError::Refused(status) => write!(f, "answered {status}"),
-            DiscoveryError::ResponseEnded => f.write_str("the response has ended"),
-            DiscoveryError::Idle => f.write_str("the agent has gone silent"),
-            DiscoveryError::ObjectTimeout => f.write_str("an object was not complete in time"),
+            DiscoveryError::Connect(error) => write!(f, "the connection could not be opened: {error}"),
+            DiscoveryError::ConnectTimeout => f.write_str("the connection was not opened in time"),
+            DiscoveryError::InvalidRequest(error) => write!(f, "the request could not be built: {error}"),
+            DiscoveryError::Http(error) => write!(f, "HTTP error: {error}"),
+            DiscoveryError::ResponseTimeout => f.write_str("the response head did not arrive in time"),
+            DiscoveryError::UnexpectedStatus(status) => write!(f, "the agent responded with {status}"),
+            DiscoveryError::ResponseEnded => f.write_str("the agent ended the response"),
+            DiscoveryError::IdleTimeout => f.write_str("the agent sent nothing for too long"),
+            DiscoveryError::ObjectTimeout => f.write_str("a JSON object was not completed in time"),
             DiscoveryError::ListTimeout => f.write_str("the complete list was not received in time"),
             DiscoveryError::InvalidByte { byte, offset } => {
-                write!(f, "not a JSON object: byte {byte:#04x} at offset {offset}")
+                write!(f, "invalid JSON object: unexpected byte {byte:#04x} at offset {offset}")
             }
             DiscoveryError::ObjectTooLarge { max_bytes } => {
-                write!(f, "an object of over {max_bytes} bytes")
+                write!(f, "a JSON object is larger than the limit of {max_bytes} bytes")
+            }
+            DiscoveryError::InvalidList(error) => write!(f, "a JSON object is not an endpoint list: {error}"),
+            DiscoveryError::InvalidEntry => {
+                f.write_str("an entry of an incremental list could not be decoded")
             }
-            DiscoveryError::InvalidList(error) => write!(f, "not an endpoint list: {error}"),
-            DiscoveryError::InvalidEntry => f.write_str("an entry cannot be decoded"),
         }
     }
 }
@@ -74,7 +76,7 @@
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             DiscoveryError::Connect(error) => Some(error),
-            DiscoveryError::Request(error) => Some(error),
+            DiscoveryError::InvalidRequest(error) => Some(error),
             DiscoveryError::Http(error) => error.source(),
             DiscoveryError::InvalidList(error) => Some(error),
             _ => None,
@@ -84,7 +86,7 @@
 
 impl From<hyper::http::Error> for DiscoveryError {
     fn from(error: hyper::http::Error) -> Self {
-        DiscoveryError::Request(error)
+        DiscoveryError::InvalidRequest(error)
     }
 }
 
--- a/src/net/discovery/json_framer.rs
+++ b/src/net/discovery/json_framer.rs
@@ -3,85 +3,87 @@
 use super::error::DiscoveryError;
 use super::json_scanner::{ByteScanner, JsonScanner, ScanResult};
 
-/// Share of the memory limit that one object's bytes may take. While a complete list is decoded, its bytes
-/// stand in a buffer of up to twice their size, beside the decoded list and the list before it: at most four
-/// times this share, where connections may hold 0.6.
-const MEMORY_SHARE: f64 = 1.0 / 16.0;
-/// Lower limit of [`max_object_bytes`], for memory limits too small to run with.
+/// Share of the memory limit that the bytes of one object may use. While a complete list is decoded, memory
+/// holds its bytes in a buffer of up to twice their size, the decoded list and the previous list: together at
+/// most four times this share. Connections may use a share of 0.6.
+const OBJECT_MEMORY_SHARE: f64 = 1.0 / 16.0;
+/// Lower limit of [`max_object_bytes`], bytes, for memory limits that are too small for the gateway to run.
 const MIN_OBJECT_BYTES: f64 = (1 << 20) as f64;
-/// An empty buffer over this capacity, bytes, is freed.
-const MAX_KEPT_BUFFER: usize = 1 << 16;
+/// Capacity, bytes, above which the buffer is freed when it is empty.
+const MAX_KEPT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Bytes that one object may hold under a memory limit, MB.
+/// Returns the maximum size of one object, bytes, under a memory limit in MB.
 pub fn max_object_bytes(memory_mb: f64) -> usize {
-    (memory_mb * 1e6 * MEMORY_SHARE).max(MIN_OBJECT_BYTES) as usize
+    (memory_mb * 1e6 * OBJECT_MEMORY_SHARE).max(MIN_OBJECT_BYTES) as usize
 }
 
-/// Puts objects together from pieces that end anywhere, and scans each byte once. An object may stand on one
-/// line or several; between two objects there is only white space, such as the empty lines of an idle watch.
+/// Assembles objects from the pieces of a stream, which may end anywhere, and scans each byte once. An object
+/// may span several lines. Between two objects only white space is valid, such as the empty lines of an idle
+/// watch.
 pub(super) struct JsonFramer<S = JsonScanner> {
     buffer: Vec<u8>,
-    /// Where in the buffer the incomplete object begins.
-    start: usize,
-    /// Up to where the buffer has been scanned.
+    /// Index in the buffer at which the incomplete object begins.
+    object_start: usize,
+    /// Number of bytes of the buffer that have been scanned.
     scanned: usize,
     scanner: S,
-    max_bytes: usize,
+    max_object_bytes: usize,
 }
 
 impl JsonFramer {
-    /// A framer for objects of up to `max_bytes`.
-    pub fn new(max_bytes: usize) -> Self {
-        JsonFramer::with_scanner(JsonScanner::default(), max_bytes)
+    /// Creates a framer for objects of up to `max_object_bytes`.
+    pub fn new(max_object_bytes: usize) -> Self {
+        JsonFramer::with_scanner(JsonScanner::default(), max_object_bytes)
     }
 }
 
 impl<S: ByteScanner> JsonFramer<S> {
-    fn with_scanner(scanner: S, max_bytes: usize) -> Self {
-        JsonFramer { buffer: Vec::new(), start: 0, scanned: 0, scanner, max_bytes }
+    fn with_scanner(scanner: S, max_object_bytes: usize) -> Self {
+        JsonFramer { buffer: Vec::new(), object_start: 0, scanned: 0, scanner, max_object_bytes }
     }
 
-    /// Takes in a piece of the stream.
+    /// Appends a piece of the stream.
     pub fn push(&mut self, piece: &[u8]) {
-        // Here and not after each object: a run of objects in one piece moves each byte once at most.
-        if self.start > 0 {
-            self.buffer.drain(..self.start);
-            self.scanned -= self.start;
-            self.start = 0;
-            if self.buffer.is_empty() && self.buffer.capacity() > MAX_KEPT_BUFFER {
+        // Complete objects are removed here and not one by one, so that each byte is moved at most once, even
+        // if one piece holds many objects.
+        if self.object_start > 0 {
+            self.buffer.drain(..self.object_start);
+            self.scanned -= self.object_start;
+            self.object_start = 0;
+            if self.buffer.is_empty() && self.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
                 self.buffer = Vec::new();
             }
         }
         self.buffer.extend_from_slice(piece);
     }
 
-    /// The bytes of the next complete object; `None` while more of it has to come.
+    /// Returns the bytes of the next object, or `None` if that object is not complete yet.
     ///
     /// # Errors
-    /// When the bytes cannot be those of an object, or the object is over the limit.
+    /// Returns an error if the bytes cannot be part of an object, or if the object is larger than the limit.
     pub fn next_object(&mut self) -> Result<Option<&[u8]>, DiscoveryError> {
-        if !self.find_end()? {
-            if self.scanned - self.start > self.max_bytes {
-                return Err(DiscoveryError::ObjectTooLarge { max_bytes: self.max_bytes });
+        if !self.scan_to_object_end()? {
+            if self.scanned - self.object_start > self.max_object_bytes {
+                return Err(DiscoveryError::ObjectTooLarge { max_bytes: self.max_object_bytes });
             }
             return Ok(None);
         }
-        let object = &self.buffer[self.start..self.scanned];
-        self.start = self.scanned;
+        let object = &self.buffer[self.object_start..self.scanned];
+        self.object_start = self.scanned;
         Ok(Some(object))
     }
 
-    /// Whether an object has begun and is not complete.
+    /// Returns whether an object has begun and is not complete.
     pub fn in_object(&self) -> bool {
         self.scanner.in_object()
     }
 
-    fn find_end(&mut self) -> Result<bool, DiscoveryError> {
+    fn scan_to_object_end(&mut self) -> Result<bool, DiscoveryError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
-            let offset = self.scanned - self.start;
+            let offset = self.scanned - self.object_start;
             self.scanned += 1;
             match self.scanner.scan(byte) {
-                ScanResult::BetweenObjects => self.start = self.scanned,
+                ScanResult::BetweenObjects => self.object_start = self.scanned,
                 ScanResult::InObject => {}
                 ScanResult::ObjectEnd => return Ok(true),
                 ScanResult::Invalid => return Err(DiscoveryError::InvalidByte { byte, offset }),
--- a/src/net/discovery/json_scanner.rs
+++ b/src/net/discovery/json_scanner.rs
@@ -1,31 +1,31 @@
 //! Finds where a JSON object ends, without decoding it.
 
-/// What one more byte means.
+/// The result of scanning one byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScanResult {
-    /// White space outside of any object.
+    /// The byte is white space outside of any object.
     BetweenObjects,
-    /// Part of an object that is not complete.
+    /// The byte is part of an object that is not complete.
     InObject,
-    /// The last byte of an object.
+    /// The byte is the last one of an object.
     ObjectEnd,
-    /// Cannot stand here.
+    /// The byte is not valid at this position.
     Invalid,
 }
 
 /// Scans a stream of objects byte by byte.
 pub(super) trait ByteScanner {
-    /// Takes in the next byte. After [`ScanResult::Invalid`] the scanner is of no further use.
+    /// Scans the next byte. After [`ScanResult::Invalid`] the scanner must not be used again.
     fn scan(&mut self, byte: u8) -> ScanResult;
 
-    /// Whether an object has begun and is not complete.
+    /// Returns whether an object has begun and is not complete.
     fn in_object(&self) -> bool;
 }
 
-/// Open brackets that an object may hold; one bit of [`JsonScanner::brackets`] each.
+/// Maximum number of brackets open at the same time. Each takes one bit of [`JsonScanner::brackets`].
 const MAX_DEPTH: u32 = u128::BITS;
 
-/// Where in an object the scan stands.
+/// The position of the scan within the JSON syntax.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ScanState {
     /// Before a value or a key.
@@ -33,27 +33,28 @@
     BeforeValue,
     /// After a value or a key.
     AfterValue,
-    /// In a number, `true`, `false` or `null`.
+    /// Within a number, `true`, `false` or `null`.
     Literal,
-    /// In a string.
+    /// Within a string.
     String,
-    /// In a string, after a backslash.
+    /// Within a string, directly after a backslash.
     Escape,
 }
 
-/// Matches brackets and strings. A byte that cannot be part of an object is found as soon as it comes;
-/// whether the literals and separators make sense together is left to the decoder.
+/// Scans brackets and strings. A byte that cannot be part of an object is reported when it is scanned. The
+/// order of literals and separators is left to the decoder to check.
 #[derive(Debug, Default)]
 pub(super) struct JsonScanner {
     state: ScanState,
     depth: u32,
-    /// One bit for each open bracket, the innermost lowest: whether it is a brace.
+    /// One bit for each open bracket, which is set if the bracket is a brace. The lowest bit is the innermost
+    /// bracket.
     brackets: u128,
 }
 
 impl ByteScanner for JsonScanner {
     fn scan(&mut self, byte: u8) -> ScanResult {
-        if !self.step(byte) {
+        if !self.scan_byte(byte) {
             return ScanResult::Invalid;
         }
         if self.depth > 0 {
@@ -72,19 +73,21 @@
 }
 
 impl JsonScanner {
-    /// Takes in one byte; false where it cannot stand.
-    fn step(&mut self, byte: u8) -> bool {
+    /// Scans one byte. Returns false if it is not valid at this position.
+    fn scan_byte(&mut self, byte: u8) -> bool {
         match self.state {
             ScanState::Escape => {
                 self.state = ScanState::String;
                 true
             }
-            ScanState::String => self.step_in_string(byte),
-            ScanState::BeforeValue | ScanState::AfterValue | ScanState::Literal => self.step_outside(byte),
+            ScanState::String => self.scan_in_string(byte),
+            ScanState::BeforeValue | ScanState::AfterValue | ScanState::Literal => {
+                self.scan_outside_string(byte)
+            }
         }
     }
 
-    fn step_in_string(&mut self, byte: u8) -> bool {
+    fn scan_in_string(&mut self, byte: u8) -> bool {
         match byte {
             b'"' => self.state = ScanState::AfterValue,
             b'\\' => self.state = ScanState::Escape,
@@ -93,7 +96,7 @@
         true
     }
 
-    fn step_outside(&mut self, byte: u8) -> bool {
+    fn scan_outside_string(&mut self, byte: u8) -> bool {
         let before_value = self.state == ScanState::BeforeValue;
         match byte {
             b' ' | b'\t' | b'\r' | b'\n' => {
@@ -102,7 +105,7 @@
                 }
                 true
             }
-            b'{' | b'[' if before_value => self.open(byte == b'{'),
+            b'{' | b'[' if before_value => self.open_bracket(byte == b'{'),
             b'"' if before_value => {
                 self.state = ScanState::String;
                 self.depth > 0
@@ -111,33 +114,33 @@
                 self.state = ScanState::BeforeValue;
                 true
             }
-            b'}' | b']' => self.close(byte == b'}'),
-            _ => self.step_literal(byte),
+            b'}' | b']' => self.close_bracket(byte == b'}'),
+            _ => self.scan_literal(byte),
         }
     }
 
-    fn step_literal(&mut self, byte: u8) -> bool {
-        let number = matches!(byte, b'0'..=b'9' | b'+' | b'-' | b'.' | b'E' | b'e');
-        let word = matches!(byte, b't' | b'r' | b'u' | b'e' | b'f' | b'a' | b'l' | b's' | b'n');
-        if self.state == ScanState::AfterValue || !(number || word) {
+    fn scan_literal(&mut self, byte: u8) -> bool {
+        let is_number = matches!(byte, b'0'..=b'9' | b'+' | b'-' | b'.' | b'E' | b'e');
+        let is_keyword = matches!(byte, b't' | b'r' | b'u' | b'e' | b'f' | b'a' | b'l' | b's' | b'n');
+        if self.state == ScanState::AfterValue || !(is_number || is_keyword) {
             return false;
         }
         self.state = ScanState::Literal;
         self.depth > 0
     }
 
-    fn open(&mut self, brace: bool) -> bool {
-        let fits = self.depth < MAX_DEPTH && (brace || self.depth > 0);
-        self.brackets = self.brackets << 1 | u128::from(brace);
+    fn open_bracket(&mut self, is_brace: bool) -> bool {
+        let is_valid = self.depth < MAX_DEPTH && (is_brace || self.depth > 0);
+        self.brackets = self.brackets << 1 | u128::from(is_brace);
         self.depth += 1;
-        fits
+        is_valid
     }
 
-    fn close(&mut self, brace: bool) -> bool {
-        let matches = self.depth > 0 && (self.brackets & 1 == 1) == brace;
+    fn close_bracket(&mut self, is_brace: bool) -> bool {
+        let is_match = self.depth > 0 && (self.brackets & 1 == 1) == is_brace;
         self.brackets >>= 1;
         self.depth = self.depth.saturating_sub(1);
         self.state = ScanState::AfterValue;
-        matches
+        is_match
     }
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Watches the discovery agent and hands its endpoint lists on.
+//! Watches the discovery agent and passes its endpoint lists to the event loop.
 //!
 //! [`WatcherHandle`] runs one watcher for the agent that the configuration names. The watcher reads a
-//! complete list once, then holds a watch open for changes, and repeats what fails after a backoff. Each list
-//! goes to an [`EndpointSink`].
+//! complete list once, then keeps a watch open that sends the changes, and retries after a backoff when a
+//! request or the watch fails. It passes each list to an [`EndpointSink`].
 
 mod connect;
 mod endpoint_list;
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -1,4 +1,4 @@
-//! One call to the agent, and its response read list by list as it comes.
+//! Sends one request to the agent and reads the endpoint lists from its response as they arrive.
 
 use super::connect::Connect;
 use super::endpoint_list::EndpointList;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The task that drives a connection; dropped, it closes the connection.
+/// The task that drives a connection. Dropping it closes the connection.
 struct ConnectionTask(tokio::task::JoinHandle<()>);
 
 impl Drop for ConnectionTask {
@@ -23,56 +23,59 @@
     }
 }
 
-/// A response whose head has come. Dropped, its connection is closed.
+/// A response whose head has been received. Dropping it closes its connection.
 pub(super) struct ResponseStream {
     body: Incoming,
     framer: JsonFramer,
-    /// When the first byte of the incomplete object came.
+    /// The time at which the incomplete object began.
     object_started: Option<Instant>,
     _connection: ConnectionTask,
 }
 
 impl ResponseStream {
-    /// Calls the agent, on a connection of its own. `call_timeout` is the time for the connection to open,
-    /// and again for the response head; an object may hold `max_bytes`.
+    /// Sends a request to the agent on a new connection. `timeout_each` limits the time to open the
+    /// connection, and again the time to receive the response head. Objects in the response may hold up to
+    /// `max_object_bytes`.
     ///
     /// # Errors
-    /// When the agent cannot be reached, does not answer in time or answers with another status than 200.
+    /// Returns an error if the agent cannot be reached, does not respond in time or responds with a status
+    /// other than 200.
     pub async fn open<A: Connect>(
         agent: &A,
         path: &str,
-        call_timeout: Duration,
-        max_bytes: usize,
+        timeout_each: Duration,
+        max_object_bytes: usize,
     ) -> Result<Self, DiscoveryError> {
-        // Cancelled at any await in here, the connection is closed, and the agent is called again.
-        let stream = timeout(call_timeout, agent.connect())
+        // If an await in this function is cancelled, the connection is closed. No other state has changed, so
+        // the request can be sent again.
+        let stream = timeout(timeout_each, agent.connect())
             .await
             .map_err(|_| DiscoveryError::ConnectTimeout)?
             .map_err(DiscoveryError::Connect)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let connection = ConnectionTask(tokio::task::spawn_local(async move {
-            // How it ends is seen by whoever reads the response.
+            // An error is not handled here, since reading the response reports it.
             let _ = connection.await;
         }));
         let request = Request::get(path).header("host", agent.to_string()).body(Empty::<Bytes>::new())?;
-        let response = timeout(call_timeout, sender.send_request(request))
+        let response = timeout(timeout_each, sender.send_request(request))
             .await
             .map_err(|_| DiscoveryError::ResponseTimeout)??;
         match response.status() {
             StatusCode::OK => Ok(ResponseStream {
                 body: response.into_body(),
-                framer: JsonFramer::new(max_bytes),
+                framer: JsonFramer::new(max_object_bytes),
                 object_started: None,
                 _connection: connection,
             }),
-            status => Err(DiscoveryError::Refused(status)),
+            status => Err(DiscoveryError::UnexpectedStatus(status)),
         }
     }
 
-    /// The next list among the bytes that have come; `None` while more of it has to come.
+    /// Returns the next list among the received bytes, or `None` if that list is not complete yet.
     ///
     /// # Errors
-    /// When the bytes are not those of an endpoint list, or the list is too large.
+    /// Returns an error if the bytes are not an endpoint list, or if the list is too large.
     pub fn next_list(&mut self) -> Result<Option<EndpointList<'_>>, DiscoveryError> {
         let Some(object) = self.framer.next_object()? else { return Ok(None) };
         let list = serde_json::from_slice(object)?;
@@ -80,11 +83,11 @@
         Ok(Some(list))
     }
 
-    /// Waits for the next piece of the body: between two objects for `idle_timeout`, within one for
-    /// [`STALL_TIMEOUT`] and no later than [`OBJECT_TIMEOUT`] after its first byte.
+    /// Waits for the next piece of the body. The time limit is `idle_timeout` between two objects. Within an
+    /// object it is [`STALL_TIMEOUT`], and [`OBJECT_TIMEOUT`] after the object began.
     ///
     /// # Errors
-    /// When no piece comes in time, the body has ended or the connection fails.
+    /// Returns an error if no piece arrives in time, the body has ended or the connection fails.
     pub async fn read_piece(&mut self, idle_timeout: Duration) -> Result<(), DiscoveryError> {
         let now = Instant::now();
         if self.framer.in_object() {
@@ -97,7 +100,7 @@
         let frame = match timeout_at(deadline, self.body.frame()).await {
             Ok(frame) => frame.ok_or(DiscoveryError::ResponseEnded)??,
             Err(_) if self.object_started.is_some() => return Err(DiscoveryError::ObjectTimeout),
-            Err(_) => return Err(DiscoveryError::Idle),
+            Err(_) => return Err(DiscoveryError::IdleTimeout),
         };
         if let Ok(piece) = frame.into_data() {
             self.framer.push(&piece);
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -1,50 +1,52 @@
 //! Timeouts and backoff of the watcher.
 //!
-//! A change counts as notified 6 s after discovery had it and could be reached. The idle time of a watch, one
-//! call, the longest backoff and the time for one object together stay within that where the drain grace is 1
-//! s or less; with a longer one a call may take up to [`STALL_TIMEOUT`] for its connection and as long again
-//! for its response.
+//! A change counts as notified to the gateway 6 s after discovery has the change and can be reached. If the
+//! drain grace is 1 s or less, the idle timeout of a watch, one request, the longest backoff and the time
+//! limit of one object together are shorter than that. With a longer drain grace, a request may take up to
+//! [`STALL_TIMEOUT`] to connect and as long again to receive the response head.
 
 use std::time::Duration;
 
-/// An object that has begun is given up when no more of it has come for this long. Also the upper limit of a
-/// call's timeout, whatever the settings.
+/// Time without further bytes after which the watcher stops reading an incomplete object. Also the upper
+/// limit of the request timeout, whatever the drain grace.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for an object from its first byte to its last, however steadily it comes, and for a complete list
-/// from its response head.
+/// Time limit from the first to the last byte of an object, even if its bytes arrive steadily. Also the time
+/// limit from the response head to the end of a complete list.
 pub(super) const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A watch is reopened when nothing has come on it for this long. An idle watch sends an empty line every two
-/// seconds; without one the connection may be dead while the agent is not, and what the agent holds counts as
-/// notified. Where it is discovery that is down, asking again costs nothing.
+/// Time without a byte after which a watch is reopened. The agent sends an empty line every 2 s on an idle
+/// watch. If the line is missing, the connection may be dead while the agent is alive, and a change that the
+/// agent holds counts as notified. If discovery itself is down, reopening the watch costs nothing.
 pub(super) const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
-/// When the agent has answered calls for a watch for this long without sending a byte on one, not even an
-/// empty line, a complete list is requested: the agent may hold what its watches do not send. Longer than
-/// [`WATCH_IDLE_TIMEOUT`], so that one idle watch does not cause a complete list.
+/// A complete list is requested when the agent has responded to watch requests for this long without sending
+/// a byte on any watch, not even an empty line: the agent may hold changes that its watches do not send.
+/// Longer than [`WATCH_IDLE_TIMEOUT`], so that one idle watch does not cause a request for a complete list.
 pub(super) const STALE_WATCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// Backoff after the first failure, and the lower limit of a call's timeout.
+/// Backoff after the first failure. Also the lower limit of the request timeout.
 pub(super) const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Upper limit of the backoff, whatever the settings.
+/// Upper limit of the backoff, whatever the drain grace.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Shares of the drain grace. An agent that is back has to be reached within the grace even when a call was
-/// out to it the moment it came back; the agent runs on this machine and answers at once if at all.
-const CALL_TIMEOUT_SHARE: f64 = 0.5;
+/// Share of the drain grace that a request timeout takes. A recovered agent must be reached within the grace,
+/// even if a request was pending when the agent recovered; that request takes this share, and the backoff
+/// after it [`MAX_BACKOFF_SHARE`]. The agent runs on this machine, so a working agent responds at once.
+const REQUEST_TIMEOUT_SHARE: f64 = 0.5;
+/// Share of the drain grace that the longest backoff takes.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
 
-/// How long calls are waited for, and the backoff between them.
+/// The timeout of requests to the agent, and the upper limit of the backoff between them.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct CallTiming {
-    /// Time for a connection to open, and again for the response head.
+pub(super) struct RequestTiming {
+    /// Time limit for opening the connection, and again for receiving the response head.
     pub timeout: Duration,
     /// Upper limit of the backoff.
     pub max_backoff: Duration,
 }
 
-impl CallTiming {
-    /// The timing that reaches an agent which is back within `drain_grace`.
-    pub fn within(drain_grace: Duration) -> Self {
-        let timeout = drain_grace.mul_f64(CALL_TIMEOUT_SHARE);
+impl RequestTiming {
+    /// Returns the timing with which a recovered agent is reached within `drain_grace`.
+    pub fn for_drain_grace(drain_grace: Duration) -> Self {
+        let timeout = drain_grace.mul_f64(REQUEST_TIMEOUT_SHARE);
         let max_backoff = drain_grace.mul_f64(MAX_BACKOFF_SHARE);
-        CallTiming {
+        RequestTiming {
             timeout: timeout.clamp(INITIAL_BACKOFF, STALL_TIMEOUT),
             max_backoff: max_backoff.clamp(INITIAL_BACKOFF, MAX_BACKOFF),
         }
--- a/tests/unit/endpoint_watcher.rs
+++ b/tests/unit/endpoint_watcher.rs
@@ -5,7 +5,7 @@
 //! in time, whatever the watcher was waiting for when the trouble began.
 
 use super::super::json_framer::max_object_bytes;
-use super::super::timing::{CallTiming, OBJECT_TIMEOUT, WATCH_IDLE_TIMEOUT};
+use super::super::timing::{RequestTiming, OBJECT_TIMEOUT, WATCH_IDLE_TIMEOUT};
 use super::{Connect, EndpointList, EndpointSink, WatcherHandle, WatcherLimits};
 use crate::config::Config;
 use crate::ids::ServerId;
@@ -463,8 +463,9 @@
                     (until_drained(&sink).await, calls)
                 });
                 assert!(elapsed < Duration::from_secs(2), "grace {grace:?}, {mode:?}: {elapsed:?}");
-                let max_calls =
-                    faulty_for.as_millis() / CallTiming::within(grace).max_backoff.as_millis() + 10;
+                let max_calls = faulty_for.as_millis()
+                    / RequestTiming::for_drain_grace(grace).max_backoff.as_millis()
+                    + 10;
                 assert!(u128::from(calls) <= max_calls, "grace {grace:?}, {mode:?}: {calls} calls");
             }
         }
--- a/tests/unit/json_framer.rs
+++ b/tests/unit/json_framer.rs
@@ -1,14 +1,14 @@
-//! Objects of the discovery agent, as they come in pieces.
+//! Tests of the assembly of JSON objects from the pieces of a stream.
 
 use super::super::endpoint_list::EndpointList;
 use super::super::json_scanner::{ByteScanner, JsonScanner, ScanResult};
-use super::{max_object_bytes, JsonFramer, MAX_KEPT_BUFFER};
+use super::{max_object_bytes, JsonFramer, MAX_KEPT_BUFFER_BYTES};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
 const MAX_BYTES: usize = 1 << 20;
 
-/// Counts the bytes that are scanned.
+/// Counts the scanned bytes.
 #[derive(Default)]
 struct CountingScanner {
     scanner: JsonScanner,
@@ -26,15 +26,16 @@
     }
 }
 
-/// The next list; `Err` where the bytes are none.
+/// Returns the revision of the next list, or `Err` if the bytes are not a list.
 fn next_revision(framer: &mut JsonFramer) -> Result<Option<u64>, ()> {
     let Some(object) = framer.next_object().map_err(drop)? else { return Ok(None) };
     let list: EndpointList = serde_json::from_slice(object).map_err(drop)?;
     Ok(Some(list.revision))
 }
 
-/// The versions of the lists in a stream of such pieces, whether all of it is valid, and the framer after it.
-fn read(pieces: &[&str]) -> (Vec<u64>, bool, JsonFramer) {
+/// Reads a stream of pieces. Returns the revisions of its lists, whether all of the stream is valid, and the
+/// framer.
+fn read_stream(pieces: &[&str]) -> (Vec<u64>, bool, JsonFramer) {
     let (mut framer, mut revisions) = (JsonFramer::new(MAX_BYTES), Vec::new());
     for piece in pieces {
         framer.push(piece.as_bytes());
@@ -50,8 +51,8 @@
 }
 
 #[test]
-fn objects_are_put_together_over_the_borders_of_pieces_and_lines() {
-    let (revisions, valid, framer) = read(&[
+fn objects_that_span_several_pieces_and_lines_are_assembled() {
+    let (revisions, valid, framer) = read_stream(&[
         "\n{\"revision\"",
         ":1,\"complete\":false,\"members\":[]}\r",
         "\n\n{\n  \"revision\": 2,\n  \"complete\"",
@@ -60,23 +61,23 @@
         "\n{",
     ]);
     assert_eq!((revisions, valid, framer.in_object()), (vec![1, 2, 3, 4], true, true));
-    let (revisions, valid, framer) = read(&["{\"revision\":1,\"members\":[]}\n", "\n"]);
+    let (revisions, valid, framer) = read_stream(&["{\"revision\":1,\"members\":[]}\n", "\n"]);
     assert_eq!((revisions, valid, framer.in_object()), (vec![1], true, false));
 }
 
-/// The agent, or something in its place, sends what is no endpoint list. The watcher has to be told, and as
-/// soon as the first wrong byte has come: a stream without an end of the object would otherwise look like a
-/// slow one.
+/// The agent, or another service at its address, sends data that is not an endpoint list. The framer must
+/// report the first invalid byte at once: an object that never ends would otherwise look like one that
+/// arrives slowly.
 #[test]
-fn what_is_no_list_is_an_error() {
-    for bad in [
+fn data_that_is_not_an_endpoint_list_is_an_error() {
+    for text in [
         "{\"revision\": oops",
         "{}",
         "7\n",
         "{\"revision\":1}",
         "{\"members\":[]}",
         "{\"revision\":-1,\"members\":[]}",
-        // Found before the object could end.
+        // The error is found before the object could end.
         "{\"revision\":1}}",
         "{\"revision\":1]",
         "{\"revision\":1,\"members\":[{\"id\":\"s-1\"} {",
@@ -85,16 +86,16 @@
         "{\"revision\":1\u{0}",
         "[{\"revision\":1,\"members\":[]}]",
         "\"revision\"",
-        // No white space of JSON.
+        // A form feed is not white space in JSON.
         "\u{c}{\"revision\":1,\"members\":[]}",
-        // Cut off in a string, with the next line behind it.
+        // The object is cut off in a string, and the next line follows.
         "{\"revision\":1,\"compl\n{\"revision\":2,\"members\":[]}\n",
     ] {
-        assert!(!read(&[bad]).1, "{bad:?}");
+        assert!(!read_stream(&[text]).1, "{text:?} was accepted");
     }
 }
 
-/// A complete list of so many endpoints, on one line or indented.
+/// Returns the text of a complete list with `endpoints` entries, on one line or indented.
 fn complete_list(endpoints: u32, indented: bool) -> String {
     let members: Vec<_> = (0..endpoints)
         .map(|i| {
@@ -105,21 +106,21 @@
         .collect();
     let list = serde_json::json!({"revision": 7, "complete": true, "members": members});
     let text = if indented { serde_json::to_string_pretty(&list) } else { serde_json::to_string(&list) };
-    text.expect("a text") + "\n"
+    text.expect("the list cannot be serialized") + "\n"
 }
 
-/// The entries of a list as they stand in its text, for their length.
+/// The undecoded entries of a list, for counting their bytes.
 #[derive(Deserialize)]
 struct RawEntries<'a> {
     #[serde(borrow)]
     members: Vec<&'a RawValue>,
 }
 
-/// A complete list of thousands of endpoints comes in a thousand pieces. If the framer scanned from the start
-/// of the object at each piece, the work would grow with the square of the list, and the gateway would stand
-/// still.
+/// A complete list of thousands of endpoints arrives in a thousand pieces. If the framer scanned from the
+/// start of the object at each piece, the work would grow with the square of the list's length, and the
+/// gateway would handle no requests meanwhile.
 #[test]
-fn each_byte_is_looked_at_as_often_however_long_the_list_and_small_the_pieces() {
+fn each_byte_is_processed_at_most_three_times_for_any_list_length_and_piece_size() {
     for (endpoints, piece_bytes) in
         [(20, 1400), (200, 1400), (1000, 1400), (5700, 1400), (20, 1), (200, 1), (5700, 1)]
     {
@@ -128,14 +129,17 @@
             let max_bytes = max_object_bytes(192.0);
             let mut framer = JsonFramer::with_scanner(CountingScanner::default(), max_bytes);
             let (mut decoded, mut lists, mut parsed_bytes) = (0, 0, 0);
-            // Three of them, as a watch may send.
+            // A watch may send several lists.
             for piece in text.repeat(3).as_bytes().chunks(piece_bytes) {
                 framer.push(piece);
-                while let Some(object) = framer.next_object().expect("an object") {
-                    let list: EndpointList = serde_json::from_slice(object).expect("a list");
-                    let raw: RawEntries = serde_json::from_slice(object).expect("a list");
+                while let Some(object) = framer.next_object().expect("the stream is not valid JSON") {
+                    let list: EndpointList =
+                        serde_json::from_slice(object).expect("the object is not an endpoint list");
+                    let raw: RawEntries =
+                        serde_json::from_slice(object).expect("the object is not an endpoint list");
                     let entry_bytes: usize = raw.members.iter().map(|entry| entry.get().len()).sum();
-                    // By the decoder of the list, and again by that of each entry.
+                    // The decoder of the list reads all bytes, and the decoder of the entries reads their
+                    // bytes again.
                     parsed_bytes += object.len() + entry_bytes;
                     decoded += list.entries().filter(Result::is_ok).count();
                     lists += 1;
@@ -144,32 +148,43 @@
             assert_eq!(
                 (lists, decoded),
                 (3, 3 * endpoints as usize),
-                "{endpoints} in pieces of {piece_bytes}"
+                "{endpoints} endpoints in pieces of {piece_bytes} bytes: wrong count of lists or entries"
             );
             let work = (framer.scanner.scanned + parsed_bytes) as f64 / (3 * text.len()) as f64;
-            println!("{endpoints} endpoints, indented {indented}, pieces of {piece_bytes}: {work:.3}");
-            // Once by the scan, once by the decoder, and once more where it is an entry's.
-            assert!(work <= 3.0, "{endpoints} in pieces of {piece_bytes}: {work} looks at a byte");
+            println!(
+                "{endpoints} endpoints, indented {indented}, pieces of {piece_bytes} bytes: a byte was \
+                 processed {work:.3} times on average"
+            );
+            // Each byte is scanned once and decoded once, and the bytes of entries are decoded a second time.
+            assert!(
+                work <= 3.0,
+                "{endpoints} endpoints in pieces of {piece_bytes} bytes: a byte was processed {work} times on average"
+            );
             framer.push(b"\n");
-            assert!(framer.buffer.capacity() <= MAX_KEPT_BUFFER, "the buffer is kept");
+            assert!(framer.buffer.capacity() <= MAX_KEPT_BUFFER_BYTES, "the empty buffer was not freed");
         }
     }
 }
 
-/// A peer sends an object that never ends. It is refused at the limit, not when the memory is full.
+/// The agent sends an object that never ends. The framer must reject it at the limit, before it fills the
+/// memory.
 #[test]
-fn the_limit_of_an_object_follows_the_memory_limit() {
-    // The plan's list, indented, at 64 MB.
+fn the_size_limit_of_an_object_follows_the_memory_limit() {
+    // At a memory limit of 64 MB, an object may hold more than twice the indented list of the planned fleet.
     assert!(max_object_bytes(64.0) > 2 * complete_list(5700, true).len());
     assert!(max_object_bytes(640.0) == 10 * max_object_bytes(64.0));
     assert!(max_object_bytes(-1.0) == max_object_bytes(f64::NAN));
     let text = complete_list(200, false);
     let mut framer = JsonFramer::new(text.len() / 2);
-    let refused_at = text.as_bytes().chunks(1400).position(|piece| {
+    let rejected_at = text.as_bytes().chunks(1400).position(|piece| {
         framer.push(piece);
         framer.next_object().is_err()
     });
-    assert_eq!(refused_at, Some(text.len() / 2 / 1400), "refused with the piece that passes the limit");
+    assert_eq!(
+        rejected_at,
+        Some(text.len() / 2 / 1400),
+        "the object was not rejected at the piece that exceeds the limit"
+    );
 }
 
 #[test]
@@ -177,6 +192,7 @@
     let text = r#"{"revision":4,"members":[{"id":"s-\u0031}","host_port":"a\"]}","phase":"Re\u0061dy"}]}"#;
     let mut framer = JsonFramer::new(MAX_BYTES);
     framer.push(text.as_bytes());
-    let object = framer.next_object().expect("an object").expect("a complete one");
+    let object =
+        framer.next_object().expect("the stream is not valid JSON").expect("the object is not complete");
     assert_eq!(object, text.as_bytes());
 }
