--- a/src/net/counter/reconnect.rs
+++ b/src/net/counter/reconnect.rs
@@ -16,8 +16,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Delay before reconnecting after the first failure. Each further failure doubles the delay, up to
-/// [`MAX_BACKOFF`]. A connection that received data and was open for longer than this is replaced without a
-/// delay, because a service that resets one connection has not failed.
+/// [`MAX_BACKOFF`]. A connection that received data and was open for longer than the initial delay is
+/// replaced without a delay, because a service that resets one connection has not failed.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 /// Maximum delay before reconnecting.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
@@ -40,8 +40,8 @@
 }
 
 impl<S: EventSink + Clone + 'static> Reconnector<S> {
-    /// Opens a connection, and opens the next one when that ends or the address changes, for the life of the
-    /// process.
+    /// Opens a connection, and opens a new one whenever the connection ends or the address changes. Runs for
+    /// the life of the process.
     pub(super) async fn reconnect_loop(self: Rc<Self>) {
         let mut backoff = INITIAL_BACKOFF;
         loop {
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -49,7 +49,7 @@
 }
 
 impl<'a> EndpointList<'a> {
-    /// Decodes the entries one by one. Yields an error for each entry that cannot be decoded.
+    /// Decodes the entries one by one. Returns an error for each entry that cannot be decoded.
     pub fn entries(&self) -> impl Iterator<Item = Result<EndpointEntry<'a>, serde_json::Error>> + '_ {
         self.members.iter().map(|member| serde_json::from_str(member.get()))
     }
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,10 +1,10 @@
-//! The error type of requests to the discovery agent.
+//! The errors of requests to the discovery agent and of watches.
 
 use hyper::StatusCode;
 use std::error::Error;
 use std::fmt::{Display, Formatter};
 
-/// The error type of requests to the discovery agent.
+/// The errors of requests to the discovery agent and of watches.
 #[derive(Debug)]
 pub enum DiscoveryError {
     /// The connection could not be opened.
--- a/tests/unit/endpoint_watcher.rs
+++ b/tests/unit/endpoint_watcher.rs
@@ -1,8 +1,8 @@
-//! Every state of the watcher, in paused time: how long it takes until what the agent holds is acted on.
+//! Tests, in paused time, of how long the watcher takes to apply a change that the agent holds.
 //!
-//! The story of them all: a server is about to leave, discovery marks it as draining, and the agent is in
-//! trouble at that moment. Once the agent holds the change and can be reached, the gateway has to act on it
-//! in time, whatever the watcher was waiting for when the trouble began.
+//! In all tests a server is about to leave, discovery marks it as draining, and the agent is faulty at that
+//! moment. Once the agent holds the change and can be reached, the gateway must apply it in time, whatever
+//! the watcher was waiting for when the fault began. Otherwise the server gets new requests while it drains.
 
 use super::super::json_framer::max_object_bytes;
 use super::super::timing::{RequestTiming, OBJECT_TIMEOUT, WATCH_IDLE_TIMEOUT};
@@ -18,18 +18,19 @@
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::time::{sleep, Instant};
 
-/// A change counts as notified this long after discovery had it and could be reached, and this long after
-/// SIGHUP.
-const NOTIFIED: Duration = Duration::from_secs(6);
-const NOTIFIED_AFTER_HANGUP: Duration = Duration::from_secs(4);
-/// Between two bytes of an agent that trickles, two pieces of one that is slow, two looks of a watch.
+/// A change counts as notified this long after discovery has the change and can be reached.
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
+/// A change that a new agent holds counts as notified this long after SIGHUP.
+const MAX_DELAY_AFTER_SIGHUP: Duration = Duration::from_secs(4);
+/// The interval at which a trickling agent sends bytes, a slow agent sends pieces, and a watch checks for
+/// changes.
 const STEP: Duration = Duration::from_millis(50);
 
-/// What an agent does with a call, and with the watches that are open.
+/// How the agent responds to requests and treats the open watches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AgentMode {
     Healthy,
-    /// Its lists and objects come steadily over almost all the time that one may take.
+    /// Sends each object steadily over almost all the time that an object may take.
     Slow,
     HangsAtConnect,
     HangsAtHead,
@@ -37,17 +38,17 @@
     HangsInBody,
     HangsInObject,
     TricklesObject,
-    /// White space in place of a list.
+    /// Sends white space instead of a list.
     TricklesWhitespace,
     TricklesChunkHead,
-    Refuses,
+    RespondsUnavailable,
     Closes,
-    ClosesBehindHead,
-    SendsNonsense,
-    SendsBadEntries,
+    ClosesAfterHead,
+    SendsInvalidJson,
+    SendsInvalidEntries,
 }
 
-const FAULTY: [AgentMode; 13] = [
+const FAULTY_MODES: [AgentMode; 13] = [
     AgentMode::HangsAtConnect,
     AgentMode::HangsAtHead,
     AgentMode::TricklesHead,
@@ -56,22 +57,24 @@
     AgentMode::TricklesObject,
     AgentMode::TricklesWhitespace,
     AgentMode::TricklesChunkHead,
-    AgentMode::Refuses,
+    AgentMode::RespondsUnavailable,
     AgentMode::Closes,
-    AgentMode::ClosesBehindHead,
-    AgentMode::SendsNonsense,
-    AgentMode::SendsBadEntries,
+    AgentMode::ClosesAfterHead,
+    AgentMode::SendsInvalidJson,
+    AgentMode::SendsInvalidEntries,
 ];
 
-/// An agent in memory. What it does with a call is decided when the call comes and stays so for that call.
+/// State of the stub agent. The mode of a request is chosen when the request arrives; a later change of mode
+/// affects only healthy and slow watches.
 struct AgentState {
     mode: Cell<AgentMode>,
-    /// What it does with calls for a watch, if that is another thing.
-    watches: Cell<Option<AgentMode>>,
+    /// The mode of watch requests, if it differs from `mode`.
+    watch_mode: Cell<Option<AgentMode>>,
     revision: Cell<u64>,
-    /// Complete lists that were sent, and connections that were opened.
-    lists: Cell<u32>,
-    calls: Cell<u32>,
+    /// Number of complete lists sent.
+    lists_sent: Cell<u32>,
+    /// Number of connections opened.
+    connections_opened: Cell<u32>,
 }
 
 #[derive(Clone)]
@@ -80,12 +83,13 @@
 impl StubAgent {
     fn new(mode: AgentMode, revision: u64) -> Self {
         let (mode, revision) = (Cell::new(mode), Cell::new(revision));
-        let (watches, lists, calls) = (Cell::default(), Cell::default(), Cell::default());
-        StubAgent(Rc::new(AgentState { mode, watches, revision, lists, calls }))
+        let (watch_mode, lists_sent, connections_opened) =
+            (Cell::default(), Cell::default(), Cell::default());
+        StubAgent(Rc::new(AgentState { mode, watch_mode, revision, lists_sent, connections_opened }))
     }
 
-    /// Its one server drains from the second version on.
-    fn object(&self, complete: bool) -> String {
+    /// Returns the list of the agent's only server, which drains from revision 2 on.
+    fn list_text(&self, complete: bool) -> String {
         let revision = self.0.revision.get();
         let phase = if revision < 2 { "Ready" } else { "Terminating" };
         let member = format!(r#"{{"id":"s-00000001","host_port":"127.0.0.1:9","phase":"{phase}"}}"#);
@@ -109,25 +113,25 @@
     type Stream = DuplexStream;
 
     async fn connect(&self) -> std::io::Result<DuplexStream> {
-        self.0.calls.set(self.0.calls.get() + 1);
+        self.0.connections_opened.set(self.0.connections_opened.get() + 1);
         if self.0.mode.get() == AgentMode::HangsAtConnect {
             pending::<()>().await;
         }
-        let (here, there) = duplex(1 << 16);
+        let (gateway_io, agent_io) = duplex(1 << 16);
         let agent = self.clone();
         tokio::task::spawn_local(async move {
-            // A caller that has left is no matter.
-            let _ = serve(there, agent).await;
+            // The watcher may close the connection at any time, so errors are ignored.
+            let _ = serve_request(agent_io, agent).await;
         });
-        Ok(here)
+        Ok(gateway_io)
     }
 }
 
-async fn chunk(io: &mut DuplexStream, data: &str) -> std::io::Result<()> {
+async fn send_chunk(io: &mut DuplexStream, data: &str) -> std::io::Result<()> {
     io.write_all(format!("{:x}\r\n{data}\r\n", data.len()).as_bytes()).await
 }
 
-/// Repeats a piece until the caller leaves.
+/// Sends a piece again and again until the watcher closes the connection.
 async fn trickle(io: &mut DuplexStream, piece: &str) -> std::io::Result<()> {
     loop {
         io.write_all(piece.as_bytes()).await?;
@@ -137,25 +141,26 @@
 
 async fn send_object(io: &mut DuplexStream, object: &str, slow: bool) -> std::io::Result<()> {
     if !slow {
-        return chunk(io, object).await;
+        return send_chunk(io, object).await;
     }
     let steps = (OBJECT_TIMEOUT.as_millis() / STEP.as_millis()) as usize - 1;
     for piece in object.as_bytes().chunks(object.len().div_ceil(steps)) {
         sleep(STEP).await;
-        chunk(io, std::str::from_utf8(piece).expect("plain text")).await?;
+        send_chunk(io, std::str::from_utf8(piece).expect("the list is not ASCII")).await?;
     }
     Ok(())
 }
 
-async fn serve(mut io: DuplexStream, agent: StubAgent) -> std::io::Result<()> {
+async fn serve_request(mut io: DuplexStream, agent: StubAgent) -> std::io::Result<()> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(io.read_u8().await?);
     }
-    let head = String::from_utf8(head).expect("text");
-    let since = head.split_once("since=").map(|(_, rest)| rest.split(' ').next().expect("a number"));
-    let since: Option<u64> = since.map(|since| since.parse().expect("a number"));
-    let mode = agent.0.watches.get().filter(|_| since.is_some()).unwrap_or(agent.0.mode.get());
+    let head = String::from_utf8(head).expect("the request head is not UTF-8");
+    let since =
+        head.split_once("since=").map(|(_, rest)| rest.split(' ').next().expect("the revision is missing"));
+    let since: Option<u64> = since.map(|since| since.parse().expect("the revision is not a number"));
+    let mode = agent.0.watch_mode.get().filter(|_| since.is_some()).unwrap_or(agent.0.mode.get());
     match mode {
         AgentMode::HangsAtConnect | AgentMode::HangsAtHead => return pending().await,
         AgentMode::Closes => return Ok(()),
@@ -163,56 +168,58 @@
             io.write_all(b"HTTP/1.1 200 OK\r\nX-Long: ").await?;
             return trickle(&mut io, "x").await;
         }
-        AgentMode::Refuses => return io.write_all(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n").await,
+        AgentMode::RespondsUnavailable => {
+            return io.write_all(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n").await
+        }
         _ => {}
     }
     io.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     if mode != AgentMode::Healthy && mode != AgentMode::Slow {
-        return misbehave(&mut io, mode, since.is_none()).await;
+        return send_faulty_body(&mut io, mode, since.is_none()).await;
     }
     let slow = mode == AgentMode::Slow;
     let Some(mut sent) = since else {
-        agent.0.lists.set(agent.0.lists.get() + 1);
-        send_object(&mut io, &agent.object(true), slow).await?;
+        agent.0.lists_sent.set(agent.0.lists_sent.get() + 1);
+        send_object(&mut io, &agent.list_text(true), slow).await?;
         return io.write_all(b"0\r\n\r\n").await;
     };
     let mut idle_since = Instant::now();
-    chunk(&mut io, "\r\n").await?;
+    send_chunk(&mut io, "\r\n").await?;
     loop {
-        let now = agent.0.mode.get();
-        if now != mode {
-            return misbehave(&mut io, now, false).await;
+        let new_mode = agent.0.mode.get();
+        if new_mode != mode {
+            return send_faulty_body(&mut io, new_mode, false).await;
         }
         if agent.0.revision.get() > sent {
-            send_object(&mut io, &agent.object(false), slow).await?;
+            send_object(&mut io, &agent.list_text(false), slow).await?;
             sent = agent.0.revision.get();
         } else if idle_since.elapsed() >= Duration::from_secs(2) {
-            chunk(&mut io, "\r\n").await?;
+            send_chunk(&mut io, "\r\n").await?;
             idle_since = Instant::now();
         }
         sleep(STEP).await;
     }
 }
 
-/// What comes behind the head of an answer, or on a watch that was healthy so far.
-async fn misbehave(io: &mut DuplexStream, mode: AgentMode, complete: bool) -> std::io::Result<()> {
+/// Sends the faulty rest of a response, after its head or on a watch that was healthy until now.
+async fn send_faulty_body(io: &mut DuplexStream, mode: AgentMode, complete: bool) -> std::io::Result<()> {
     match mode {
-        AgentMode::Refuses | AgentMode::Closes | AgentMode::ClosesBehindHead => return Ok(()),
-        AgentMode::HangsInObject => chunk(io, r#"{"revision":2,"mem"#).await?,
+        AgentMode::RespondsUnavailable | AgentMode::Closes | AgentMode::ClosesAfterHead => return Ok(()),
+        AgentMode::HangsInObject => send_chunk(io, r#"{"revision":2,"mem"#).await?,
         AgentMode::TricklesObject => {
-            chunk(io, r#"{"revision":2,"members":[{"id":""#).await?;
+            send_chunk(io, r#"{"revision":2,"members":[{"id":""#).await?;
             return trickle(io, "1\r\na\r\n").await;
         }
-        // On a watch white space is no fault.
+        // White space is valid on a watch.
         AgentMode::TricklesWhitespace if complete => return trickle(io, "1\r\n\n\r\n").await,
         AgentMode::TricklesChunkHead => {
             io.write_all(b"7;").await?;
             return trickle(io, "x").await;
         }
-        AgentMode::SendsNonsense => chunk(io, "{\"revision\": oops\n").await?,
-        AgentMode::SendsBadEntries => {
+        AgentMode::SendsInvalidJson => send_chunk(io, "{\"revision\": oops\n").await?,
+        AgentMode::SendsInvalidEntries => {
             let object = format!(r#"{{"revision":1,"complete":{complete},"members":[{{"id":7}}]}}"#);
-            chunk(io, &(object + "\n")).await?;
+            send_chunk(io, &(object + "\n")).await?;
         }
         _ => {}
     }
@@ -225,59 +232,62 @@
         "group":"all","repeat_window":25000,"late_value":0}],
     "plans":[{"name":"team","rate":100,"store_size":100}]}}"#;
 
-/// The event loop, and when it was notified of the drain.
+/// Passes lists to the event loop and records when the drain was applied.
 #[derive(Clone)]
 struct RecordingSink {
     event_loop: Rc<EventLoop>,
-    drained: Rc<RefCell<Option<Instant>>>,
+    drain_applied_at: Rc<RefCell<Option<Instant>>>,
 }
 
 impl EndpointSink for RecordingSink {
     fn apply_endpoints(&self, list: &EndpointList<'_>) -> bool {
         let decoded = self.event_loop.endpoints_changed(list);
         if list.revision >= 2 {
-            // From here on nothing new goes to it, whatever is under way.
-            assert!(!self.event_loop.accepts_requests(ServerId(1)));
-            self.drained.borrow_mut().get_or_insert(Instant::now());
+            // From now on the server must not get new requests.
+            assert!(
+                !self.event_loop.accepts_requests(ServerId(1)),
+                "a draining server still accepts new requests"
+            );
+            self.drain_applied_at.borrow_mut().get_or_insert(Instant::now());
         }
         decoded
     }
 }
 
-/// Runs in paused time, with the event loop as the sink.
-fn in_paused_time<F: Future<Output = T>, T>(run: impl FnOnce(RecordingSink, WatcherLimits) -> F) -> T {
+/// Runs a test in paused time, with the event loop as the sink of the lists.
+fn run_in_paused_time<F: Future<Output = T>, T>(run: impl FnOnce(RecordingSink, WatcherLimits) -> F) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    let config = Config::parse(CONFIG).expect("a configuration");
+    let config = Config::parse(CONFIG).expect("the configuration is invalid");
     let event_loop = EventLoop::new(&config, 16);
     let limits =
         WatcherLimits { drain_grace: event_loop.drain_grace(), max_object_bytes: max_object_bytes(192.0) };
-    let sink = RecordingSink { event_loop, drained: Rc::default() };
-    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), run(sink, limits))
+    let sink = RecordingSink { event_loop, drain_applied_at: Rc::default() };
+    tokio::task::LocalSet::new().block_on(&runtime.expect("the runtime cannot be built"), run(sink, limits))
 }
 
-/// How long it takes from now until the drain is acted on.
-async fn until_drained(sink: &RecordingSink) -> Duration {
+/// Waits until the drain is applied, and returns how long that takes from now.
+async fn time_until_drained(sink: &RecordingSink) -> Duration {
     let start = Instant::now();
-    while sink.drained.borrow().is_none() && start.elapsed() < 2 * NOTIFIED {
+    while sink.drain_applied_at.borrow().is_none() && start.elapsed() < 2 * MAX_NOTIFICATION_DELAY {
         sleep(Duration::from_millis(5)).await;
     }
     start.elapsed()
 }
 
-/// What the watcher is doing when the agent turns faulty.
+/// What the watcher is doing when the agent becomes faulty.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    /// It has no list, and asks for one.
-    Start,
-    /// It has a list, and asks for a watch.
-    Known,
-    /// It has a watch, which turns faulty as well.
+    /// The watcher has no list and requests a complete one.
+    RequestingList,
+    /// The watcher has a list and requests a watch.
+    RequestingWatch,
+    /// The watcher has an open watch, which becomes faulty as well.
     Watching,
 }
 
-const STAGES: [Stage; 3] = [Stage::Start, Stage::Known, Stage::Watching];
+const STAGES: [Stage; 3] = [Stage::RequestingList, Stage::RequestingWatch, Stage::Watching];
 
-/// Brings a watcher to a stage, and lets the agent be faulty for a time.
+/// Starts a watcher, brings it to a stage, and keeps the agent faulty for a time.
 async fn start_in_stage(
     sink: &RecordingSink,
     limits: WatcherLimits,
@@ -286,13 +296,13 @@
     faulty_for: Duration,
 ) -> (WatcherHandle<StubAgent>, StubAgent) {
     let agent = StubAgent::new(mode, 1);
-    let known = if matches!(stage, Stage::Start) { None } else { Some(1) };
+    let known_revision = if matches!(stage, Stage::RequestingList) { None } else { Some(1) };
     if matches!(stage, Stage::Watching) {
         agent.0.mode.set(AgentMode::Healthy);
     }
-    let watcher = WatcherHandle::start(sink, agent.clone(), known, limits);
+    let watcher = WatcherHandle::start(sink, agent.clone(), known_revision, limits);
     if matches!(stage, Stage::Watching) {
-        // Just behind an empty line, from where silence lasts longest until it is met.
+        // The agent has just sent an empty line, so the watcher takes longest to notice that nothing follows.
         sleep(Duration::from_millis(2110)).await;
         agent.0.mode.set(mode);
     }
@@ -300,137 +310,157 @@
     (watcher, agent)
 }
 
-/// Moments over the cycle of any state, and well into its longest pause.
+/// Fault durations that end at many points of the watcher's retry cycle, and well into its longest wait.
 fn fault_durations() -> impl Iterator<Item = Duration> {
     (0..90).map(|i| Duration::from_millis(i * 97))
 }
 
-/// The agent is in one kind of trouble, for any length of time, and then has a drain to send.
+/// The agent has one kind of fault for any length of time, recovers and then holds a drain. The watcher must
+/// not keep waiting for the faulty response beyond the notification delay.
 #[test]
-fn what_the_agent_holds_is_acted_on_in_time_from_every_state() {
-    for back in [AgentMode::Healthy, AgentMode::Slow] {
+fn a_drain_is_applied_in_time_after_the_agent_recovers_from_any_fault() {
+    for recovered_mode in [AgentMode::Healthy, AgentMode::Slow] {
         for stage in STAGES {
-            for mode in FAULTY {
+            for mode in FAULTY_MODES {
                 let longest = fault_durations().map(|faulty_for| {
-                    in_paused_time(|sink, limits| async move {
+                    run_in_paused_time(|sink, limits| async move {
                         let (_watcher, agent) = start_in_stage(&sink, limits, stage, mode, faulty_for).await;
-                        agent.0.mode.set(back);
+                        agent.0.mode.set(recovered_mode);
                         agent.0.revision.set(2);
-                        until_drained(&sink).await
+                        time_until_drained(&sink).await
                     })
                 });
-                let longest = longest.max().expect("durations");
-                println!("{stage:?}, {mode:?}, then {back:?}: acted on after {} ms", longest.as_millis());
-                assert!(longest < NOTIFIED, "{stage:?}, {mode:?}, then {back:?}: {longest:?}");
-                // A SIGHUP that leaves the agent as it is changes nothing in this.
+                let longest = longest.max().expect("no fault duration was tested");
+                println!(
+                    "{stage:?}, {mode:?}, then {recovered_mode:?}: drain applied within {} ms",
+                    longest.as_millis()
+                );
                 assert!(
-                    back == AgentMode::Slow || longest < NOTIFIED_AFTER_HANGUP,
-                    "{stage:?}, {mode:?}: {longest:?}"
+                    longest < MAX_NOTIFICATION_DELAY,
+                    "{stage:?}, {mode:?}, then {recovered_mode:?}: the drain was applied only after \
+                     {longest:?}"
+                );
+                // A SIGHUP that keeps the agent does not restart the watcher, so the limit after SIGHUP also
+                // holds here.
+                assert!(
+                    recovered_mode == AgentMode::Slow || longest < MAX_DELAY_AFTER_SIGHUP,
+                    "{stage:?}, {mode:?}: the drain was applied only after {longest:?}"
                 );
             }
         }
     }
 }
 
-/// The agent is silent, and a call is out to it at the moment it comes back. That call is lost; the next one
-/// has to bring the drain before new requests to the server are forbidden.
+/// The agent does not respond, and a request is pending at the moment it recovers. That request gets no
+/// response; the next one must return the drain before the grace ends and new requests to the server are
+/// forbidden.
 #[test]
-fn a_call_that_was_out_when_a_silent_agent_came_back_costs_less_than_the_grace() {
+fn a_request_pending_when_the_agent_recovers_delays_a_drain_by_less_than_the_grace() {
     for stage in STAGES {
         for mode in [AgentMode::HangsAtConnect, AgentMode::HangsAtHead] {
-            // The watch that falls silent with the agent has been given up by then.
+            // By then the watch on which nothing arrives any more has been closed.
             for faulty_for in fault_durations().map(|duration| duration + WATCH_IDLE_TIMEOUT) {
-                let (elapsed, grace) = in_paused_time(|sink, limits| async move {
+                let (elapsed, grace) = run_in_paused_time(|sink, limits| async move {
                     let (_watcher, agent) = start_in_stage(&sink, limits, stage, mode, faulty_for).await;
                     agent.0.mode.set(AgentMode::Healthy);
                     agent.0.revision.set(2);
-                    (until_drained(&sink).await, limits.drain_grace)
+                    (time_until_drained(&sink).await, limits.drain_grace)
                 });
-                assert!(elapsed < grace, "{stage:?}, {mode:?} for {faulty_for:?}: {elapsed:?}");
+                assert!(
+                    elapsed < grace,
+                    "{stage:?}, {mode:?} for {faulty_for:?}: the drain was applied only after {elapsed:?}"
+                );
             }
         }
     }
 }
 
-/// Operators move the gateway to another agent by SIGHUP while the watcher is in any state. A drain that the
-/// new agent holds must not wait for what the watcher was doing with the old one.
+/// An operator switches the gateway to another agent with SIGHUP, while the watcher is in any state. A drain
+/// that the new agent holds must not be delayed by a pending request to the old agent.
 #[test]
-fn a_new_agent_is_heard_in_time_after_sighup_in_every_state() {
-    for back in [AgentMode::Healthy, AgentMode::Slow] {
+fn a_drain_at_a_new_agent_is_applied_in_time_after_sighup() {
+    for recovered_mode in [AgentMode::Healthy, AgentMode::Slow] {
         let mut longest = Duration::ZERO;
         for stage in STAGES {
-            for mode in FAULTY {
+            for mode in FAULTY_MODES {
                 for faulty_for in fault_durations().step_by(6) {
-                    let elapsed = in_paused_time(|sink, limits| async move {
+                    let elapsed = run_in_paused_time(|sink, limits| async move {
                         let (mut watcher, _agent) =
                             start_in_stage(&sink, limits, stage, mode, faulty_for).await;
-                        watcher.switch_agent(&sink, StubAgent::new(back, 2));
-                        until_drained(&sink).await
+                        watcher.switch_agent(&sink, StubAgent::new(recovered_mode, 2));
+                        time_until_drained(&sink).await
                     });
                     assert!(
-                        elapsed < NOTIFIED_AFTER_HANGUP,
-                        "{stage:?}, {mode:?} for {faulty_for:?}: {elapsed:?}"
+                        elapsed < MAX_DELAY_AFTER_SIGHUP,
+                        "{stage:?}, {mode:?} for {faulty_for:?}: the drain was applied only after {elapsed:?}"
                     );
                     longest = longest.max(elapsed);
                 }
             }
         }
-        println!("SIGHUP to an agent that is {back:?}: acted on after {} ms", longest.as_millis());
+        println!(
+            "SIGHUP to an agent in mode {recovered_mode:?}: drain applied within {} ms",
+            longest.as_millis()
+        );
     }
-    // The new agent is faulty first, and so is the old one from then on.
-    for mode in FAULTY {
+    // The new agent is faulty at first, and the old agent stays faulty.
+    for mode in FAULTY_MODES {
         let longest = fault_durations().step_by(3).map(|faulty_for| {
-            in_paused_time(|sink, limits| async move {
+            run_in_paused_time(|sink, limits| async move {
                 let (mut watcher, _) =
                     start_in_stage(&sink, limits, Stage::Watching, AgentMode::HangsAtHead, STEP).await;
                 let agent = StubAgent::new(mode, 2);
                 watcher.switch_agent(&sink, agent.clone());
                 sleep(faulty_for).await;
                 agent.0.mode.set(AgentMode::Healthy);
-                until_drained(&sink).await
+                time_until_drained(&sink).await
             })
         });
-        let longest = longest.max().expect("durations");
-        println!("SIGHUP to an agent that is {mode:?} first: acted on after {} ms", longest.as_millis());
-        assert!(longest < NOTIFIED_AFTER_HANGUP, "{mode:?}: {longest:?}");
+        let longest = longest.max().expect("no fault duration was tested");
+        println!(
+            "SIGHUP to an agent first in mode {mode:?}: drain applied within {} ms",
+            longest.as_millis()
+        );
+        assert!(longest < MAX_DELAY_AFTER_SIGHUP, "{mode:?}: the drain was applied only after {longest:?}");
     }
 }
 
-/// The agent answers calls for a watch and sends nothing on them, or refuses them, while its complete list
-/// would have the drain. The watcher has to ask for that list, and not so often that lists become a load.
+/// The agent responds to watch requests but sends nothing on the watches, or rejects the requests, while its
+/// complete list holds the drain. The watcher must request the complete list, but not so often that the lists
+/// become a load.
 #[test]
-fn what_no_watch_sends_comes_by_a_complete_list() {
-    // Its calls for a watch go on failing; only its list has the change.
+fn a_drain_that_no_watch_sends_is_read_from_a_complete_list() {
+    // All watch requests keep failing, and only the complete list holds the change.
     for mode in [
         AgentMode::HangsInBody,
-        AgentMode::Refuses,
-        AgentMode::ClosesBehindHead,
+        AgentMode::RespondsUnavailable,
+        AgentMode::ClosesAfterHead,
         AgentMode::TricklesChunkHead,
     ] {
         let longest = fault_durations().step_by(3).map(|faulty_for| {
-            in_paused_time(|sink, limits| async move {
+            run_in_paused_time(|sink, limits| async move {
                 let agent = StubAgent::new(AgentMode::Healthy, 1);
-                agent.0.watches.set(Some(mode));
+                agent.0.watch_mode.set(Some(mode));
                 let _watcher = WatcherHandle::start(&sink, agent.clone(), Some(1), limits);
                 sleep(faulty_for).await;
                 agent.0.revision.set(2);
-                until_drained(&sink).await
+                time_until_drained(&sink).await
             })
         });
-        let longest = longest.max().expect("durations");
-        println!("watches that are {mode:?} for ever: acted on after {} ms", longest.as_millis());
-        assert!(longest < NOTIFIED, "{mode:?}: {longest:?}");
-        let lists = in_paused_time(|sink, limits| async move {
+        let longest = longest.max().expect("no fault duration was tested");
+        println!("all watches in mode {mode:?}: drain applied within {} ms", longest.as_millis());
+        assert!(longest < MAX_NOTIFICATION_DELAY, "{mode:?}: the drain was applied only after {longest:?}");
+        let lists_sent = run_in_paused_time(|sink, limits| async move {
             let agent = StubAgent::new(AgentMode::Healthy, 1);
-            agent.0.watches.set(Some(mode));
+            agent.0.watch_mode.set(Some(mode));
             let _watcher = WatcherHandle::start(&sink, agent.clone(), Some(1), limits);
-            sleep(10 * NOTIFIED).await;
-            agent.0.lists.get()
+            sleep(10 * MAX_NOTIFICATION_DELAY).await;
+            agent.0.lists_sent.get()
         });
-        assert!(lists <= 20, "{mode:?}: {lists} complete lists in a minute");
+        assert!(lists_sent <= 20, "{mode:?}: {lists_sent} complete lists were requested in a minute");
     }
-    // A healthy watch that was reset now and then is no cause for one, and neither is an agent that was down.
-    in_paused_time(|sink, limits| async move {
+    // Neither an occasional reset of a healthy watch nor an agent that was down causes a complete list.
+    run_in_paused_time(|sink, limits| async move {
         let agent = StubAgent::new(AgentMode::Healthy, 1);
         let _watcher = WatcherHandle::start(&sink, agent.clone(), Some(1), limits);
         for mode in [AgentMode::Closes, AgentMode::HangsAtHead, AgentMode::HangsAtConnect, AgentMode::Closes]
@@ -441,32 +471,40 @@
             agent.0.mode.set(AgentMode::Healthy);
         }
         agent.0.revision.set(2);
-        until_drained(&sink).await;
-        assert_eq!(agent.0.lists.get(), 0);
+        time_until_drained(&sink).await;
+        assert_eq!(agent.0.lists_sent.get(), 0, "a complete list was requested without need");
     });
 }
 
-/// The agent is down for a minute. The watcher must not call it in a spin, nor back off so far that its
-/// return is missed.
+/// The agent is down for a minute. The watcher must not send requests in a busy loop, and must not back off
+/// so far that it notices the recovery late.
 #[test]
-fn an_agent_that_stays_faulty_is_neither_called_without_a_backoff_nor_forgotten_with_a_long_grace() {
+fn requests_to_an_agent_that_stays_faulty_back_off_up_to_a_limit_for_any_grace() {
     for grace in [1000, 20_000].map(Duration::from_millis) {
-        for mode in [AgentMode::Closes, AgentMode::Refuses, AgentMode::HangsAtHead] {
-            for faulty_for in fault_durations().step_by(6).map(|duration| 10 * NOTIFIED + duration) {
-                let (elapsed, calls) = in_paused_time(|sink, limits| async move {
+        for mode in [AgentMode::Closes, AgentMode::RespondsUnavailable, AgentMode::HangsAtHead] {
+            for faulty_for in
+                fault_durations().step_by(6).map(|duration| 10 * MAX_NOTIFICATION_DELAY + duration)
+            {
+                let (elapsed, connections) = run_in_paused_time(|sink, limits| async move {
                     let limits = WatcherLimits { drain_grace: grace, ..limits };
                     let (_watcher, agent) =
-                        start_in_stage(&sink, limits, Stage::Known, mode, faulty_for).await;
-                    let calls = agent.0.calls.get();
+                        start_in_stage(&sink, limits, Stage::RequestingWatch, mode, faulty_for).await;
+                    let connections = agent.0.connections_opened.get();
                     agent.0.mode.set(AgentMode::Healthy);
                     agent.0.revision.set(2);
-                    (until_drained(&sink).await, calls)
+                    (time_until_drained(&sink).await, connections)
                 });
-                assert!(elapsed < Duration::from_secs(2), "grace {grace:?}, {mode:?}: {elapsed:?}");
-                let max_calls = faulty_for.as_millis()
+                assert!(
+                    elapsed < Duration::from_secs(2),
+                    "grace {grace:?}, {mode:?}: the drain was applied only after {elapsed:?}"
+                );
+                let max_connections = faulty_for.as_millis()
                     / RequestTiming::for_drain_grace(grace).max_backoff.as_millis()
                     + 10;
-                assert!(u128::from(calls) <= max_calls, "grace {grace:?}, {mode:?}: {calls} calls");
+                assert!(
+                    u128::from(connections) <= max_connections,
+                    "grace {grace:?}, {mode:?}: {connections} connections were opened without enough backoff"
+                );
             }
         }
     }
--- a/tests/unit/json_framer.rs
+++ b/tests/unit/json_framer.rs
@@ -158,7 +158,8 @@
             // Each byte is scanned once and decoded once, and the bytes of entries are decoded a second time.
             assert!(
                 work <= 3.0,
-                "{endpoints} endpoints in pieces of {piece_bytes} bytes: a byte was processed {work} times on average"
+                "{endpoints} endpoints in pieces of {piece_bytes} bytes: a byte was processed {work} times \
+                 on average"
             );
             framer.push(b"\n");
             assert!(framer.buffer.capacity() <= MAX_KEPT_BUFFER_BYTES, "the empty buffer was not freed");
@@ -170,7 +171,7 @@
 /// memory.
 #[test]
 fn the_size_limit_of_an_object_follows_the_memory_limit() {
-    // At a memory limit of 64 MB, an object may hold more than twice the indented list of the planned fleet.
+    // With 64 MB of memory, an object may be over twice as long as the indented list of the planned fleet.
     assert!(max_object_bytes(64.0) > 2 * complete_list(5700, true).len());
     assert!(max_object_bytes(640.0) == 10 * max_object_bytes(64.0));
     assert!(max_object_bytes(-1.0) == max_object_bytes(f64::NAN));
