--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -34,7 +34,7 @@
 fn a_queued_request_is_not_forwarded_after_its_client_disconnects() {
     for kind in DISCONNECT_KINDS {
         let gate = Gate::default();
-        let server = gated_server(&gate, answer("200 OK", "", b"late"));
+        let server = gated_server(&gate, response_bytes("200 OK", "", b"late"));
         let (mut setup, _discovery, _counter) = setup_for(server.address);
         setup.plan = ONE_IN_FLIGHT_PLAN;
         let gateway = setup.start();
@@ -58,7 +58,7 @@
 fn a_request_awaiting_its_upstream_connection_is_not_forwarded_after_its_client_disconnects() {
     for cancellation_allowed in [true, false] {
         for kind in DISCONNECT_KINDS {
-            let server = Unreachable::new();
+            let server = UnreachableServer::new();
             let (mut setup, _discovery, _counter) = setup_for(server.address);
             setup.connect_timeout = NO_CONNECT_TIMEOUT_MS;
             setup.cancellation_allowed = cancellation_allowed;
@@ -67,12 +67,12 @@
             wait_until_gateway_has_read_all(&gateway);
             clients.into_iter().for_each(|client| disconnect(client, kind));
             wait_for_disconnects(&gateway, 0);
-            let (bytes_received, connections_ended) = server.open();
+            let (bytes_received, connections_ended) = server.accept_and_count();
             if !cancellation_allowed {
                 // These attempts continue: their connections are established when the kernel retries, after
                 // 1, 3 or 7 s, and are then closed. Nothing was sent on a connection that is never
                 // established either, so the test does not require that one is.
-                within(Duration::from_secs(12), || connections_ended.load(Ordering::SeqCst) > 0);
+                holds_within(Duration::from_secs(12), || connections_ended.load(Ordering::SeqCst) > 0);
             }
             assert_eq!(gateway.client().get("/healthz", "").status(), 200);
             let bytes_received = bytes_received.load(Ordering::SeqCst);
@@ -118,14 +118,16 @@
     for cancellation_allowed in [true, false] {
         for kind in DISCONNECT_KINDS {
             let gate = Gate::default();
-            let rejection = answer("503 Busy", "X-Unprocessed: 1\r\n", b"");
+            let rejection = response_bytes("503 Busy", "X-Unprocessed: 1\r\n", b"");
             let (a, b) = (gated_server(&gate, rejection.clone()), gated_server(&gate, rejection));
-            let members =
-                [member("s-00000001", a.address, "Ready"), member("s-00000002", b.address, "Ready")];
-            let known = list(1, true, &members);
+            let members = [
+                endpoint_entry("s-00000001", a.address, "Ready"),
+                endpoint_entry("s-00000002", b.address, "Ready"),
+            ];
+            let known = endpoint_list(1, true, &members);
             let (mut setup, discovery, _counter) = setup_for(a.address);
             *discovery.list.lock().expect("poisoned lock") = known.clone();
-            setup.known = known;
+            setup.initial_list = known;
             setup.cancellation_allowed = cancellation_allowed;
             let gateway = setup.start();
             let clients = send_requests(&gateway, "slow", client_count(kind));
--- a/tests/client_disconnect/clients.rs
+++ b/tests/client_disconnect/clients.rs
@@ -114,12 +114,12 @@
 
 /// Number of attempts that the server has seen of requests with this name.
 pub fn attempts_seen(server: &Server, name: &str) -> usize {
-    server.seen.lock().expect("poisoned lock").iter().filter(|message| has_name(message, name)).count()
+    server.requests.lock().expect("poisoned lock").iter().filter(|message| has_name(message, name)).count()
 }
 
 /// Whether the request has this name; see [`send_request`].
 pub fn has_name(message: &Message, name: &str) -> bool {
-    message.start.contains(&format!("&name={name} "))
+    message.start_line.contains(&format!("&name={name} "))
 }
 
 /// Waits until the gateway has read all bytes that were written to it before. It answers in order, so one
--- a/tests/client_disconnect/stage_scenario.rs
+++ b/tests/client_disconnect/stage_scenario.rs
@@ -9,8 +9,8 @@
     ONE_IN_FLIGHT_PLAN,
 };
 use crate::support::{
-    answer, eventually, start_stubs, Client, Counter, Discovery, Gate, GatewayProcess, Message, Server,
-    StubResponse, Unreachable,
+    eventually, response_bytes, start_stubs, Client, Counter, Discovery, Gate, GatewayProcess, Message,
+    Server, StubResponse, UnreachableServer,
 };
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
@@ -52,17 +52,17 @@
     match stage {
         RequestStage::AwaitingRetry if is_disconnected => {
             gate.wait();
-            StubResponse::Write(answer("503 Busy", "X-Unprocessed: 1\r\n", b""))
+            StubResponse::Write(response_bytes("503 Busy", "X-Unprocessed: 1\r\n", b""))
         }
-        RequestStage::AwaitingHedge if is_disconnected => StubResponse::Silence,
+        RequestStage::AwaitingHedge if is_disconnected => StubResponse::NoResponse,
         RequestStage::AwaitingTenantSlot if is_disconnected => {
-            StubResponse::Late(SLOT_TIME, answer("200 OK", "", b"good"))
+            StubResponse::Delayed(SLOT_TIME, response_bytes("200 OK", "", b"good"))
         }
         _ => {
             if has_name(message, "slow") {
                 gate.wait();
             }
-            StubResponse::Write(answer("200 OK", "", b"good"))
+            StubResponse::Write(response_bytes("200 OK", "", b"good"))
         }
     }
 }
@@ -73,7 +73,7 @@
     pub gateway: GatewayProcess,
     pub server: Server,
     clients: Vec<Client>,
-    unreachable: Option<Unreachable>,
+    unreachable: Option<UnreachableServer>,
     gate: Gate,
     _slow_clients: Vec<Client>,
     _discovery: Discovery,
@@ -86,7 +86,7 @@
         let gate = Gate::default();
         let server_gate = gate.clone();
         let server = Server::start(move |message| respond(stage, &server_gate, message));
-        let unreachable = (stage == RequestStage::Connecting).then(Unreachable::new);
+        let unreachable = (stage == RequestStage::Connecting).then(UnreachableServer::new);
         let mut members = many_endpoints_at(unreachable.as_ref().map_or(server.address, |u| u.address));
         if stage == RequestStage::AwaitingConcurrencySlot {
             members.truncate(10);
--- a/tests/client_disconnect/stubs.rs
+++ b/tests/client_disconnect/stubs.rs
@@ -2,12 +2,13 @@
 
 use crate::clients::has_name;
 use crate::support::{
-    answer, member, start_stubs, Counter, Discovery, Gate, GatewayProcess, Server, Setup, StubResponse,
+    endpoint_entry, response_bytes, start_stubs, Counter, Discovery, Gate, GatewayProcess, Server, Setup,
+    StubResponse,
 };
 use std::net::SocketAddr;
 
 pub fn setup_for(server: SocketAddr) -> (Setup, Discovery, Counter) {
-    start_stubs(&[member("s-00000001", server, "Ready")])
+    start_stubs(&[endpoint_entry("s-00000001", server, "Ready")])
 }
 
 /// Starts a server that waits at a gate before it answers requests named `slow` with `response`.
@@ -18,7 +19,7 @@
             gate.wait();
             return StubResponse::Write(response.clone());
         }
-        StubResponse::Write(answer("200 OK", "", b"good"))
+        StubResponse::Write(response_bytes("200 OK", "", b"good"))
     })
 }
 
@@ -48,7 +49,7 @@
 /// Lists one address under so many server ids that a flood does not reach the limit of requests in flight at
 /// any of them.
 pub fn many_endpoints_at(address: SocketAddr) -> Vec<String> {
-    (0..600).map(|i| member(&format!("s-{:08x}", i + 1), address, "Ready")).collect()
+    (0..600).map(|i| endpoint_entry(&format!("s-{:08x}", i + 1), address, "Ready")).collect()
 }
 
 /// Raises the gateway's limits so that it accepts the connections and requests of a whole flood.
--- a/tests/end_to_end/client_requests.rs
+++ b/tests/end_to_end/client_requests.rs
@@ -31,8 +31,8 @@
     client.send("POST", "book", "X-Time-Left: 1.5\r\nIdempotency-Key: 5c0f6e\r\n", b"{\"part\": 1}");
     let response = client.read().expect("no response");
     assert_eq!((response.status(), response.body == expected_body), (200, true));
-    let seen = server.seen.lock().expect("lock poisoned")[0].clone();
-    assert_eq!(seen.start, "POST /book?customer=00000000b4d65521 HTTP/1.1");
+    let seen = server.requests.lock().expect("lock poisoned")[0].clone();
+    assert_eq!(seen.start_line, "POST /book?customer=00000000b4d65521 HTTP/1.1");
     assert_eq!(seen.header("idempotency-key"), Some("5c0f6e"));
     assert_eq!(seen.header("x-correlation-id").map(str::len), Some(16));
     assert_eq!(seen.body, b"{\"part\": 1}");
@@ -84,7 +84,7 @@
     let gateway = setup.start();
     let status_of = |request: &str| {
         let mut client = gateway.client();
-        let status = client.raw(request.as_bytes()).map(|m| m.status());
+        let status = client.exchange_bytes(request.as_bytes()).map(|m| m.status());
         assert!(client.read().is_none(), "the connection stayed open after {request:?}");
         status.expect("no response")
     };
@@ -124,20 +124,29 @@
 /// its client has disconnected.
 #[test]
 fn the_id_of_a_request_in_flight_is_rejected_until_that_request_is_finished() {
-    let server = Server::start(|_| StubResponse::Late(Duration::from_millis(300), ok_response(b"mine")));
+    let server = Server::start(|_| StubResponse::Delayed(Duration::from_millis(300), ok_response(b"mine")));
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let (mut first, mut other) = (gateway.client(), gateway.client());
     first.stream.write_all(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("send failed");
     eventually("the server receives the attempt", || server.count() == 1);
-    assert_eq!(other.raw(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("no response").status(), 409);
+    assert_eq!(
+        other.exchange_bytes(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("no response").status(),
+        409
+    );
     assert_eq!(first.read().expect("no response").body, b"mine");
-    assert_eq!(first.raw(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("no response").status(), 200);
+    assert_eq!(
+        first.exchange_bytes(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("no response").status(),
+        200
+    );
     // The id can also be used again after the client has disconnected.
     first.stream.write_all(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("send failed");
     eventually("the server receives the third attempt", || server.count() == 3);
     drop(first);
     eventually("the id can be used again", || {
-        gateway.client().raw(format!("{REQUEST_HEAD}\r\n").as_bytes()).is_some_and(|m| m.status() == 200)
+        gateway
+            .client()
+            .exchange_bytes(format!("{REQUEST_HEAD}\r\n").as_bytes())
+            .is_some_and(|m| m.status() == 200)
     });
 }
 
@@ -182,13 +191,13 @@
 /// gateway must cancel the attempt by closing its connection.
 #[test]
 fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
-    let server = Server::start(|_| StubResponse::Silence);
+    let server = Server::start(|_| StubResponse::NoResponse);
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     client.send("GET", "look", "X-Time-Left: 30\r\n", b"");
     eventually("the server receives the attempt", || server.count() == 1);
     drop(client);
-    let idle = server.closed.recv_timeout(WAIT_TIMEOUT).expect("no connection was closed");
+    let idle = server.idle_before_close.recv_timeout(WAIT_TIMEOUT).expect("no connection was closed");
     assert!(idle < Duration::from_millis(1000), "the attempt's connection was only closed after {idle:?}");
 }
 
@@ -226,7 +235,7 @@
 fn the_gateway_recovers_after_running_out_of_file_descriptors() {
     let server = Server::ok();
     let (mut setup, _discovery, _counter) = gateway_setup(&[&server]);
-    setup.descriptors = Some(48);
+    setup.descriptor_limit = Some(48);
     let mut gateway = setup.start();
     let clients: Vec<Client> = (0..90).map(|_| gateway.client()).collect();
     drop(clients);
--- a/tests/end_to_end/endpoint_watch.rs
+++ b/tests/end_to_end/endpoint_watch.rs
@@ -9,7 +9,7 @@
 
 /// A watch event, as one line.
 fn event(revision: u64, complete: bool, entries: &[String]) -> String {
-    list(revision, complete, entries) + "\n"
+    endpoint_list(revision, complete, entries) + "\n"
 }
 
 /// Servers start draining, are missing from a complete list, or are removed. Requests sent to them after that
@@ -20,7 +20,7 @@
     let (a, b, c) = (Server::ok(), Server::ok(), Server::ok());
     let (gateway, discovery, _counter) = start_gateway(&[&a, &b, &c]);
     let mut client = gateway.client();
-    eventually("the gateway opens a watch", || discovery.watching() == 1);
+    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
     assert_eq!(concurrent_statuses(&gateway, 12), [200; 12]);
     // A chunk may end anywhere, including in the middle of a line.
     let line = event(2, false, &[entry(0, &a, "Terminating")]);
@@ -55,11 +55,11 @@
 fn an_invalid_watch_event_is_followed_by_a_request_for_the_complete_list() {
     let (a, b) = (Server::ok(), Server::ok());
     let (gateway, discovery, _counter) = start_gateway(&[&a]);
-    eventually("the gateway opens a watch", || discovery.watching() == 1);
+    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
     assert_eq!(gateway.client().get_idempotent().status(), 200);
-    *discovery.list.lock().expect("lock poisoned") = list(9, true, &[entry(1, &b, "Ready")]);
+    *discovery.list.lock().expect("lock poisoned") = endpoint_list(9, true, &[entry(1, &b, "Ready")]);
     discovery.write("{\"revision\": oops\n");
-    eventually("the gateway opens a new watch", || discovery.watching() == 2);
+    eventually("the gateway opens a new watch", || discovery.open_watches() == 2);
     let requests = discovery.requests_seen.lock().expect("lock poisoned").clone();
     assert!(requests[1].contains("/v1/servers HTTP"), "not a request for the complete list: {requests:?}");
     assert!(requests[2].contains("since=9"), "not a watch from revision 9: {requests:?}");
@@ -71,9 +71,9 @@
 fn a_watch_event_may_span_several_lines() {
     let (a, b) = (Server::ok(), Server::ok());
     let (gateway, discovery, _counter) = start_gateway(&[&a, &b]);
-    eventually("the gateway opens a watch", || discovery.watching() == 1);
+    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
     assert_eq!(concurrent_statuses(&gateway, 8), [200; 8]);
-    let line = list(2, false, &[entry(0, &a, "Terminating")]);
+    let line = endpoint_list(2, false, &[entry(0, &a, "Terminating")]);
     let multi_line = line.replace('{', "{\n  ").replace(',', ",\n\n    ").replace('}', "\n}");
     // A chunk may end anywhere, including between two lines of an event.
     let split_at = multi_line.find("\n\n").expect("the event does not span several lines") + 1;
@@ -98,15 +98,16 @@
         event(2, false, &[entry(0, &a, "Asleep"), valid_entry.clone()]),
         event(2, false, &[entry(4, &a, "Ready").replace("127.0.0.1", "nowhere")]),
         // The event is cut off, and only heartbeats follow.
-        list(2, false, std::slice::from_ref(&valid_entry))[..60].to_owned(),
+        endpoint_list(2, false, std::slice::from_ref(&valid_entry))[..60].to_owned(),
         r#"{"revision":2}"#.to_owned() + "\n",
     ] {
         let (gateway, discovery, _counter) = start_gateway(&[&a]);
-        eventually("the gateway opens a watch", || discovery.watching() == 1);
-        *discovery.list.lock().expect("lock poisoned") = list(9, true, std::slice::from_ref(&valid_entry));
+        eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+        *discovery.list.lock().expect("lock poisoned") =
+            endpoint_list(9, true, std::slice::from_ref(&valid_entry));
         let count_before = a.count();
         discovery.write(&invalid_event);
-        eventually("the gateway opens a new watch", || discovery.watching() == 2);
+        eventually("the gateway opens a new watch", || discovery.open_watches() == 2);
         let requests = discovery.requests_seen.lock().expect("lock poisoned").clone();
         assert!(
             requests[1].contains("/v1/servers HTTP") && requests[2].contains("since=9"),
@@ -127,12 +128,12 @@
 fn a_complete_list_with_an_invalid_entry_is_requested_once() {
     let a = Server::ok();
     let (gateway, discovery, _counter) = start_gateway(&[&a]);
-    eventually("the gateway opens a watch", || discovery.watching() == 1);
+    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
     let invalid_entry = r#"{"id":7}"#.to_owned();
     *discovery.list.lock().expect("lock poisoned") =
-        list(9, true, &[invalid_entry.clone(), entry(0, &a, "Ready")]);
+        endpoint_list(9, true, &[invalid_entry.clone(), entry(0, &a, "Ready")]);
     discovery.write(&event(8, false, std::slice::from_ref(&invalid_entry)));
-    eventually("the gateway opens a new watch", || discovery.watching() == 2);
+    eventually("the gateway opens a new watch", || discovery.open_watches() == 2);
     // A complete list that arrives on the watch itself is not requested again either.
     discovery.write(&event(10, true, &[invalid_entry, entry(0, &a, "Terminating")]));
     eventually("the gateway applies the drain of the only server", || {
@@ -155,10 +156,10 @@
     let gateway = setup.start();
     // The gateway serves with its cached list, and keeps requesting the current one.
     assert_eq!(gateway.client().get_idempotent().status(), 200);
-    eventually("the gateway requests the list several times", || discovery.calls() >= 3);
-    *discovery.list.lock().expect("lock poisoned") = list(7, true, &[entry(1, &b, "Ready")]);
+    eventually("the gateway requests the list several times", || discovery.call_count() >= 3);
+    *discovery.list.lock().expect("lock poisoned") = endpoint_list(7, true, &[entry(1, &b, "Ready")]);
     discovery.unresponsive.store(false, Ordering::SeqCst);
-    eventually("the gateway opens a watch", || discovery.watching() == 1);
+    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
     discovery.write(&event(8, false, &[entry(0, &a, "Gone"), entry(1, &b, "Ready")]));
     assert_idle_connection_closed(&a);
     assert_eq!(gateway.client().get_idempotent().status(), 200);
@@ -174,7 +175,7 @@
     let (a, b) = (Server::ok(), Server::ok());
     let (mut setup, first, _counter) = gateway_setup(&[&a]);
     let gateway = setup.start();
-    eventually("the gateway opens a watch", || first.watching() == 1);
+    eventually("the gateway opens a watch", || first.open_watches() == 1);
     let change = event(5, false, &[entry(1, &b, "Ready")]);
     first.write(&change);
     eventually("the gateway applies the change", || {
@@ -182,7 +183,7 @@
     });
     first.write(&change[..40]);
     first.reset();
-    eventually("the gateway opens a new watch", || first.watching() == 1);
+    eventually("the gateway opens a new watch", || first.open_watches() == 1);
     let requests = first.requests_seen.lock().expect("lock poisoned").clone();
     assert!(
         requests.last().is_some_and(|a| a.contains("follow=1&since=5")),
@@ -191,24 +192,24 @@
     // A reload sets the address of another agent while the first one does not respond.
     first.unresponsive.store(true, Ordering::SeqCst);
     first.reset();
-    let calls_before = first.calls();
-    eventually("the silent agent receives a request", || first.calls() > calls_before);
+    let calls_before = first.call_count();
+    eventually("the silent agent receives a request", || first.call_count() > calls_before);
     let second = Discovery::start(ready_list(1, &[&a, &b]));
-    *second.list.lock().expect("lock poisoned") = list(1, true, &[entry(1, &b, "Ready")]);
+    *second.list.lock().expect("lock poisoned") = endpoint_list(1, true, &[entry(1, &b, "Ready")]);
     setup.discovery = second.address;
     gateway.reload(&setup.config());
-    eventually("the gateway opens a watch at the new agent", || second.watching() == 1);
+    eventually("the gateway opens a watch at the new agent", || second.open_watches() == 1);
     let requests = second.requests_seen.lock().expect("lock poisoned").clone();
     assert!(
         requests[0].contains("/v1/servers HTTP"),
         "the complete list of the new agent was not requested: {requests:?}"
     );
     // The gateway has applied the new agent's list before it opened the watch.
-    let (requests_to_a, calls_to_first) = (a.count(), first.calls());
+    let (requests_to_a, calls_to_first) = (a.count(), first.call_count());
     let mut client = gateway.client();
     assert!((0..8).all(|_| client.get_idempotent().status() == 200), "a request was not served");
     assert_eq!(a.count(), requests_to_a, "a server that is not in the new agent's list got a request");
-    assert_eq!(first.calls(), calls_to_first, "the old agent still gets requests");
+    assert_eq!(first.call_count(), calls_to_first, "the old agent still gets requests");
 }
 
 /// A watch stays open but sends no heartbeats (empty lines), as when its agent hangs. Changes would never
@@ -217,10 +218,10 @@
 fn a_watch_without_heartbeats_is_reopened() {
     let server = Server::ok();
     let (_gateway, discovery, _counter) = start_gateway(&[&server]);
-    eventually("the gateway opens a watch", || discovery.watching() == 1);
+    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
     discovery.silent_watches.store(true, Ordering::SeqCst);
     let start = Instant::now();
-    eventually("the gateway opens a new watch", || discovery.watching() == 2);
+    eventually("the gateway opens a new watch", || discovery.open_watches() == 2);
     assert!(
         start.elapsed() < Duration::from_secs(4),
         "the watch was only reopened after {:?}",
--- a/tests/end_to_end/lifecycle.rs
+++ b/tests/end_to_end/lifecycle.rs
@@ -11,8 +11,9 @@
 /// listen on the address.
 #[test]
 fn sigterm_completes_requests_in_flight_and_releases_the_address() {
-    let server =
-        Server::start(|_| StubResponse::Late(Duration::from_millis(900), ok_response(b"late but complete")));
+    let server = Server::start(|_| {
+        StubResponse::Delayed(Duration::from_millis(900), ok_response(b"late but complete"))
+    });
     let (mut setup, _discovery, _counter) = gateway_setup(&[&server]);
     let mut gateway = setup.start();
     let mut client = gateway.client();
@@ -49,7 +50,7 @@
 /// reset connection.
 #[test]
 fn a_request_that_is_unfinished_at_the_end_of_a_shutdown_gets_an_error_response() {
-    let server = Server::start(|_| StubResponse::Silence);
+    let server = Server::start(|_| StubResponse::NoResponse);
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut gateway = gateway;
     let mut client = gateway.client();
@@ -66,8 +67,8 @@
 /// each unit must be added to exactly one counter, once.
 #[test]
 fn a_reload_switches_discovery_and_counter_without_losing_requests_or_units() {
-    let slow = Server::start(|m| match m.start.starts_with("POST") {
-        true => StubResponse::Late(Duration::from_millis(1200), ok_response(b"late but complete")),
+    let slow = Server::start(|m| match m.start_line.starts_with("POST") {
+        true => StubResponse::Delayed(Duration::from_millis(1200), ok_response(b"late but complete")),
         false => StubResponse::Write(ok_response(b"")),
     });
     let other = Server::ok();
@@ -90,7 +91,7 @@
     let (second, second_counter) = (Discovery::start(ready_list(0, &[&slow, &other])), Counter::ok());
     (setup.discovery, setup.counter) = (second.address, second_counter.address);
     gateway.reload(&setup.config());
-    eventually("the gateway opens a watch at the new agent", || second.watching() == 1);
+    eventually("the gateway opens a watch at the new agent", || second.open_watches() == 1);
     let first_request = second.requests_seen.lock().expect("lock poisoned")[0].clone();
     assert!(
         first_request.contains("/v1/servers HTTP"),
@@ -105,7 +106,7 @@
     (setup.discovery, setup.counter) = (first.address, counter.address);
     let calls_before = counter.calls.load(Ordering::SeqCst);
     gateway.reload(&setup.config());
-    eventually("the gateway watches the first agent again", || first.watching() == 2);
+    eventually("the gateway watches the first agent again", || first.open_watches() == 2);
     send_until("the first counter receives a call again", &|| {
         counter.calls.load(Ordering::SeqCst) > calls_before
     });
--- a/tests/end_to_end/main.rs
+++ b/tests/end_to_end/main.rs
@@ -36,12 +36,12 @@
 fn ready_list(revision: u64, servers: &[&Server]) -> String {
     let ready = |(index, server): (usize, &&Server)| entry(index, server, "Ready");
     let entries: Vec<String> = servers.iter().enumerate().map(ready).collect();
-    list(revision, true, &entries)
+    endpoint_list(revision, true, &entries)
 }
 
 /// A server's entry in the endpoint list.
 fn entry(index: usize, server: &Server, phase: &str) -> String {
-    member(&format!("s-0000000{}", index + 1), server.address, phase)
+    endpoint_entry(&format!("s-0000000{}", index + 1), server.address, phase)
 }
 
 /// Sends `count` non-idempotent requests and returns their statuses. All requests are sent before the first
@@ -54,10 +54,10 @@
 
 /// Asserts that the gateway closes its idle connection to the server long before the idle timeout.
 fn assert_idle_connection_closed(server: &Server) {
-    let idle = server.closed.recv_timeout(WAIT_TIMEOUT).expect("no connection was closed");
+    let idle = server.idle_before_close.recv_timeout(WAIT_TIMEOUT).expect("no connection was closed");
     assert!(idle < Duration::from_secs(6), "an idle connection stayed open for {idle:?}");
 }
 
 fn ok_response(body: &[u8]) -> Vec<u8> {
-    answer("200 OK", "", body)
+    response_bytes("200 OK", "", body)
 }
--- a/tests/end_to_end/upstream_responses.rs
+++ b/tests/end_to_end/upstream_responses.rs
@@ -34,7 +34,8 @@
 /// so even non-idempotent requests must be retried on another server, and all must succeed.
 #[test]
 fn a_request_is_retried_if_a_server_rejects_it_unprocessed_or_refuses_the_connection() {
-    let overloaded = Server::start(|_| StubResponse::Write(answer("503 Busy", "X-Unprocessed: 1\r\n", b"")));
+    let overloaded =
+        Server::start(|_| StubResponse::Write(response_bytes("503 Busy", "X-Unprocessed: 1\r\n", b"")));
     let unreachable = Server::ok();
     let healthy = Server::ok();
     // A socket that is bound but does not listen refuses connections, and no other test can get its port.
@@ -56,9 +57,12 @@
 #[test]
 fn an_error_or_a_truncated_response_to_a_non_idempotent_request_is_not_retried() {
     let truncated = b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nonly this".to_vec();
-    for bytes in
-        [answer("503 Busy", "", b""), answer("500 Error", "", b"x"), truncated, b"nonsense\r\n\r\n".to_vec()]
-    {
+    for bytes in [
+        response_bytes("503 Busy", "", b""),
+        response_bytes("500 Error", "", b"x"),
+        truncated,
+        b"nonsense\r\n\r\n".to_vec(),
+    ] {
         let server = Server::start(move |_| StubResponse::Close(bytes.clone()));
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
         assert_eq!(gateway.client().post_non_idempotent("1.9").status(), 502);
@@ -70,7 +74,7 @@
 /// X-Time-Left header gives, and the attempt's connection must be closed.
 #[test]
 fn a_request_to_a_server_that_never_responds_is_answered_within_its_time_left() {
-    let server = Server::start(|_| StubResponse::Silence);
+    let server = Server::start(|_| StubResponse::NoResponse);
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     let start = Instant::now();
@@ -81,14 +85,17 @@
         "unexpected status {status} for a request that may have been executed"
     );
     assert!(elapsed < Duration::from_millis(400), "answered only after {elapsed:?}");
-    assert!(server.closed.recv_timeout(WAIT_TIMEOUT).is_ok(), "the attempt's connection was left open");
+    assert!(
+        server.idle_before_close.recv_timeout(WAIT_TIMEOUT).is_ok(),
+        "the attempt's connection was left open"
+    );
 }
 
 #[test]
 fn idle_connections_are_reused_and_closed_before_the_server_closes_them() {
     let server = Server::ok();
     let (mut setup, _discovery, _counter) = gateway_setup(&[&server]);
-    setup.conn_idle = 3000.0;
+    setup.idle_timeout = 3000.0;
     let gateway = setup.start();
     let mut client = gateway.client();
     for _ in 0..5 {
@@ -101,7 +108,7 @@
         1,
         "consecutive requests did not share one connection"
     );
-    let idle = server.closed.recv_timeout(WAIT_TIMEOUT).expect("no connection was closed");
+    let idle = server.idle_before_close.recv_timeout(WAIT_TIMEOUT).expect("no connection was closed");
     assert!(idle < Duration::from_millis(2800), "the connection was only closed after {idle:?} of idle time");
     assert_eq!(client.get_idempotent().status(), 200);
 }
@@ -110,13 +117,13 @@
 /// connection, the request would be lost with an unknown outcome and, being non-idempotent, would fail.
 #[test]
 fn a_connection_that_the_server_closed_is_not_reused() {
-    let server = Server::start(|m| StubResponse::Close(ok_response(m.start.as_bytes())));
+    let server = Server::start(|m| StubResponse::Close(ok_response(m.start_line.as_bytes())));
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     for _ in 0..20 {
         assert_eq!(client.post_non_idempotent("1.9").status(), 200);
         // The close has now reached the gateway's socket, whether or not its runtime has processed it.
-        server.closed.recv_timeout(WAIT_TIMEOUT).expect("the server did not close its connection");
+        server.idle_before_close.recv_timeout(WAIT_TIMEOUT).expect("the server did not close its connection");
     }
 }
 
@@ -132,20 +139,20 @@
                 .expect("the request has no X-Correlation-Id")
                 .as_bytes()
                 .to_vec();
-            StubResponse::Twice(ok_response(&body), Duration::from_millis(delay_ms), ok_response(&body))
+            StubResponse::WriteTwice(ok_response(&body), Duration::from_millis(delay_ms), ok_response(&body))
         });
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
         let mut client = gateway.client();
         for n in 0..10 {
             let id = format!("{delay_ms:08x}{n:08x}");
             let request = REQUEST_HEAD.replace("a1", &id) + "\r\n";
-            let response = client.raw(request.as_bytes()).expect("no response");
+            let response = client.exchange_bytes(request.as_bytes()).expect("no response");
             assert_eq!(
                 (response.status(), String::from_utf8_lossy(&response.body)),
                 (200, id.as_str().into())
             );
             // Waits until the server has written the duplicate.
-            server.wrote.recv_timeout(WAIT_TIMEOUT).expect("the server wrote no duplicate");
+            server.second_writes.recv_timeout(WAIT_TIMEOUT).expect("the server wrote no duplicate");
         }
         assert!(server.connections.load(Ordering::SeqCst) >= 10, "a connection with unread bytes was reused");
     }
@@ -184,14 +191,18 @@
             start.elapsed()
         );
         assert!(
-            server.closed.recv_timeout(WAIT_TIMEOUT).is_ok(),
+            server.idle_before_close.recv_timeout(WAIT_TIMEOUT).is_ok(),
             "the connection stayed open after {head:?}"
         );
     }
     for interim in ["HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n", "HTTP/1.1 100 Continue\r\n\r\n"] {
         let bytes = [
             interim.as_bytes(),
-            &answer("200 OK", "X-Backend-Load: \u{1}=-7,,\r\n".replace('\u{1}', "q").as_str(), b"good"),
+            &response_bytes(
+                "200 OK",
+                "X-Backend-Load: \u{1}=-7,,\r\n".replace('\u{1}', "q").as_str(),
+                b"good",
+            ),
         ]
         .concat();
         let server = Server::start(move |_| StubResponse::Write(bytes.clone()));
@@ -204,7 +215,7 @@
 /// there is no other, the gateway must still use it.
 #[test]
 fn the_only_server_is_still_used_after_it_was_ejected() {
-    let server = Server::start(|m| match m.start.starts_with("POST") {
+    let server = Server::start(|m| match m.start_line.starts_with("POST") {
         true => StubResponse::Write(b"noise\r\n\r\n".to_vec()),
         false => StubResponse::Write(ok_response(b"")),
     });
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -16,8 +16,8 @@
 /// A complete list of [`ENDPOINTS`] endpoints, all with the address of one server.
 fn complete_list(revision: u64, server: &Server, indented: bool) -> String {
     let members: Vec<String> =
-        (0..ENDPOINTS).map(|i| member(&format!("s-{i:08x}"), server.address, "Ready")).collect();
-    let list = list(revision, true, &members);
+        (0..ENDPOINTS).map(|i| endpoint_entry(&format!("s-{i:08x}"), server.address, "Ready")).collect();
+    let list = endpoint_list(revision, true, &members);
     if !indented {
         return list + "\n";
     }
@@ -52,10 +52,10 @@
     for indented in [false, true] {
         let text = complete_list(7, &server, indented);
         let (discovery, counter) = (Discovery::start(text.clone()), Counter::ok());
-        discovery.piece.store(SEGMENT_BYTES, Ordering::SeqCst);
+        discovery.write_size.store(SEGMENT_BYTES, Ordering::SeqCst);
         discovery.unresponsive.store(true, Ordering::SeqCst);
         let gateway = Setup::new(discovery.address, counter.address, "null").launch();
-        eventually("the gateway calls discovery twice without an answer", || discovery.calls() >= 2);
+        eventually("the gateway calls discovery twice without an answer", || discovery.call_count() >= 2);
         assert_ne!(gateway.client().get("/healthz", "").status(), 200);
         let (start, cpu_at_start) = (Instant::now(), cpu_time(&gateway));
         discovery.unresponsive.store(false, Ordering::SeqCst);
@@ -68,8 +68,8 @@
             text.len()
         );
         assert_eq!(gateway.client().get_idempotent().status(), 200);
-        eventually("the gateway opens a watch", || discovery.watching() == 1);
-        assert_watch_kept(&gateway, &discovery, discovery.calls(), &next);
+        eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+        assert_watch_kept(&gateway, &discovery, discovery.call_count(), &next);
     }
 }
 
@@ -79,10 +79,10 @@
 fn a_complete_list_of_thousands_is_applied_over_a_watch() {
     for indented in [false, true] {
         let (old, server, next) = (Server::ok(), Server::ok(), Server::ok());
-        let (setup, discovery, _counter) = start_stubs(&[member("s-0fffffff", old.address, "Ready")]);
-        discovery.piece.store(SEGMENT_BYTES, Ordering::SeqCst);
+        let (setup, discovery, _counter) = start_stubs(&[endpoint_entry("s-0fffffff", old.address, "Ready")]);
+        discovery.write_size.store(SEGMENT_BYTES, Ordering::SeqCst);
         let gateway = setup.start();
-        eventually("the gateway opens a watch", || discovery.watching() == 1);
+        eventually("the gateway opens a watch", || discovery.open_watches() == 1);
         let text = complete_list(7, &server, indented);
         let (start, cpu_at_start) = (Instant::now(), cpu_time(&gateway));
         discovery.write(&text);
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -14,10 +14,10 @@
 fn gated_server(gate: &Gate, body: Vec<u8>) -> Server {
     let gate = gate.clone();
     Server::start(move |message| {
-        if message.start.starts_with("POST /long") {
+        if message.start_line.starts_with("POST /long") {
             gate.wait();
         }
-        StubResponse::Write(answer("200 OK", "", &body))
+        StubResponse::Write(response_bytes("200 OK", "", &body))
     })
 }
 
@@ -136,7 +136,7 @@
         let mut results = Vec::new();
         for i in 0.. {
             let request_name = format!("{name}-{i}");
-            let response = client.raw(named_request(&request_name).as_bytes());
+            let response = client.exchange_bytes(named_request(&request_name).as_bytes());
             let status = response.as_ref().map(Message::status);
             results.push(RequestResult { path: named_path(&request_name), status });
             // Continues after a response that announces the close: clients may use a connection as long as it
@@ -152,8 +152,8 @@
 
 /// The paths of the requests that the server has received.
 fn paths_seen(server: &Server) -> Vec<String> {
-    let seen = server.seen.lock().expect("lock poisoned");
-    let path = |message: &Message| message.start.split(' ').nth(1).unwrap_or_default().to_owned();
+    let seen = server.requests.lock().expect("lock poisoned");
+    let path = |message: &Message| message.start_line.split(' ').nth(1).unwrap_or_default().to_owned();
     seen.iter().map(path).collect()
 }
 
@@ -301,9 +301,9 @@
     assert_eq!(response.header("connection"), Some("close"));
     assert!(client.read().is_none(), "the request after the announced close was answered");
     assert_eq!(gateway.exit_code(), Some(0));
-    let seen = server.seen.lock().expect("lock poisoned");
+    let seen = server.requests.lock().expect("lock poisoned");
     assert!(
-        !seen.iter().any(|m| m.start.contains("crossing")),
+        !seen.iter().any(|m| m.start_line.contains("crossing")),
         "the request after the announced close was forwarded but could not be answered"
     );
 }
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use support::{
-    answer, endpoints_of, eventually, list, member, start_stubs, Client, Counter, Discovery, Gate,
-    GatewayProcess, Message, Server, Setup, StubResponse,
+    endpoint_entry, endpoint_list, endpoints_of, eventually, response_bytes, start_stubs, Client, Counter,
+    Discovery, Gate, GatewayProcess, Message, Server, Setup, StubResponse,
 };
 
 /// Descriptors that the gateway holds.
@@ -58,7 +58,7 @@
     let gate = gate.clone();
     Server::start(move |_| {
         gate.wait();
-        StubResponse::Write(answer("200 OK", "", b""))
+        StubResponse::Write(response_bytes("200 OK", "", b""))
     })
 }
 
@@ -103,11 +103,11 @@
     let unusable = AtomicUsize::new(0);
     let endless = ["HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", &"x".repeat(200_000)].concat();
     Server::start(move |request: &Message| {
-        if !request.start.contains("/once") {
-            return StubResponse::Write(answer("200 OK", "", b"good"));
+        if !request.start_line.contains("/once") {
+            return StubResponse::Write(response_bytes("200 OK", "", b"good"));
         }
         match unusable.fetch_add(1, Ordering::SeqCst) % 4 {
-            0 => StubResponse::Silence,
+            0 => StubResponse::NoResponse,
             1 => StubResponse::Write(b"noise without end of a line".to_vec()),
             2 => StubResponse::Write(endless.clone().into_bytes()),
             _ => StubResponse::Close(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
@@ -136,7 +136,7 @@
         X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 1.9\r\nX-Quota: units=1,spread=2,first=0\r\n\r\n";
     drop(gateway.client().stream.write_all(REQUEST));
     eventually("the correlation id is released", || {
-        gateway.client().raw(REQUEST).is_some_and(|response| response.status() == 200)
+        gateway.client().exchange_bytes(REQUEST).is_some_and(|response| response.status() == 200)
     });
 }
 
@@ -162,15 +162,15 @@
 impl LimiterAtLimit {
     fn start(server: &Server, new_server: &Server) -> Self {
         let members = |server: &Server| -> Vec<String> {
-            (10..70).map(|id| member(&format!("s-000000{id}"), server.address, "Ready")).collect()
+            (10..70).map(|id| endpoint_entry(&format!("s-000000{id}"), server.address, "Ready")).collect()
         };
         let (mut setup, discovery, counter) = start_stubs(&members(server));
         setup.sockets = MIN_SOCKETS;
-        setup.descriptors = Some(MIN_SOCKETS);
+        setup.descriptor_limit = Some(MIN_SOCKETS);
         let gateway = setup.start();
-        eventually("a watch", || discovery.watching() > 0);
+        eventually("a watch", || discovery.open_watches() > 0);
         eventually("connections to the counter", || has_connections(&counter));
-        let new_discovery = Discovery::start(list(7, true, &members(new_server)));
+        let new_discovery = Discovery::start(endpoint_list(7, true, &members(new_server)));
         let new_counter = Counter::ok();
         for agent in [&discovery, &new_discovery] {
             agent.unresponsive.store(true, Ordering::SeqCst);
@@ -186,11 +186,11 @@
     fn move_to_new_peers(&self) {
         let LimiterAtLimit { gateway, setup, new_discovery, new_counter, .. } = self;
         gateway.reload(&setup.config());
-        eventually("a call to the silent discovery", || new_discovery.calls() > 0);
+        eventually("a call to the silent discovery", || new_discovery.call_count() > 0);
         eventually("connections to the new counter", || has_connections(new_counter));
         let started = Instant::now();
         new_discovery.unresponsive.store(false, Ordering::SeqCst);
-        eventually("a watch after the list", || new_discovery.watching() > 0);
+        eventually("a watch after the list", || new_discovery.open_watches() > 0);
         let elapsed = started.elapsed();
         let descriptors = descriptors(gateway);
         println!("in force {elapsed:.2?} after discovery's return, {descriptors} descriptors");
@@ -215,7 +215,7 @@
     let mut idle: Vec<Client> = (0..200).map(|_| gateway.client()).collect();
     for client in idle.iter_mut().step_by(2) {
         // One whose descriptor was wanted may have been closed.
-        _ = client.raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        _ = client.exchange_bytes(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     let address = gateway.address;
     let connected = Arc::new(AtomicUsize::new(0));
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -11,7 +11,8 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 use support::{
-    endpoints_of, list, member, start_stubs, Client, Counter, Discovery, GatewayProcess, Server, Setup,
+    endpoint_entry, endpoint_list, endpoints_of, start_stubs, Client, Counter, Discovery, GatewayProcess,
+    Server, Setup,
 };
 
 /// Time within which nine in ten gateways must be ready.
@@ -81,13 +82,13 @@
 /// Endpoint list entries of `count` servers, which no test connects to.
 fn members(count: usize) -> Vec<String> {
     let address = |i: usize| SocketAddr::from(([10, 1, (i / 250) as u8, (i % 250) as u8], 8000));
-    (0..count).map(|i| member(&format!("s-{i:08x}"), address(i), "Ready")).collect()
+    (0..count).map(|i| endpoint_entry(&format!("s-{i:08x}"), address(i), "Ready")).collect()
 }
 
 #[test]
 fn gateways_that_start_together_are_ready_soon() {
     for servers in [20, 1000, 5700] {
-        let known = list(1, true, &members(servers));
+        let known = endpoint_list(1, true, &members(servers));
         let discovery = Discovery::start(known.clone());
         let counter = Counter::ok();
         let (discovery_address, counter_address) = (discovery.address, counter.address);
@@ -100,7 +101,7 @@
 /// become ready with that.
 #[test]
 fn gateways_with_a_cached_list_are_ready_soon_while_discovery_does_not_respond() {
-    let cached = list(1, true, &members(5700));
+    let cached = endpoint_list(1, true, &members(5700));
     let discovery = Discovery::start(cached.clone());
     let counter = Counter::ok();
     discovery.unresponsive.store(true, Ordering::SeqCst);
--- a/tests/settings_variety.rs
+++ b/tests/settings_variety.rs
@@ -105,7 +105,7 @@
         for (i, (class, post)) in classes.into_iter().enumerate() {
             for (j, plan) in ["free", "Open Only", "c", "nothing"].into_iter().enumerate() {
                 let text = request(class, post, plan, "1", &format!("{i}{j}"));
-                let got = client.raw(text.as_bytes()).map(|m| m.status());
+                let got = client.exchange_bytes(text.as_bytes()).map(|m| m.status());
                 assert_eq!(got, Some(200), "{what}: {class} of {plan}");
                 served += 1;
             }
@@ -116,10 +116,18 @@
             [("look", "c", 404), ("fetch-count", "c", 404), ("a", "team", 400), ("a", "lokal", 400)];
         for (class, plan, status) in unknown {
             let text = request(class, false, plan, "1", "x");
-            assert_eq!(gateway.client().raw(text.as_bytes()).map(|m| m.status()), Some(status), "{what}");
+            assert_eq!(
+                gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status()),
+                Some(status),
+                "{what}"
+            );
         }
         let text = request("a", false, "c", "250.5", "y");
-        assert_eq!(gateway.client().raw(text.as_bytes()).map(|m| m.status()), Some(400), "{what}: units");
+        assert_eq!(
+            gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status()),
+            Some(400),
+            "{what}: units"
+        );
         gateway.terminate();
         assert_eq!(gateway.exit_code(), Some(0), "{what}");
     }
@@ -132,30 +140,36 @@
 fn a_drain_is_heeded_and_a_non_idempotent_class_is_not_retried_under_other_names_too() {
     let dies = Server::start(|_| StubResponse::Close(Vec::new()));
     let ok = Server::ok();
-    let known = list(
+    let known = endpoint_list(
         1,
         true,
-        &[member("node/1", dies.address, "Ready"), member("node/2", ok.address, "Terminating")],
+        &[
+            endpoint_entry("node/1", dies.address, "Ready"),
+            endpoint_entry("node/2", ok.address, "Terminating"),
+        ],
     );
     let (discovery, counter) = (Discovery::start(known.clone()), Counter::ok());
     let mut setup = Setup::new(discovery.address, counter.address, &known);
     setup.settings = Some(settings());
     let gateway = setup.start();
     let text = request("quarterly-report.v2", true, "c", "1", "once");
-    let status = gateway.client().raw(text.as_bytes()).map(|m| m.status());
+    let status = gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status());
     assert_eq!(
         (status, dies.count(), ok.count()),
         (Some(502), 1, 0),
         "may have been executed: failed, not rejected"
     );
-    eventually("a watch", || discovery.watching() == 1);
+    eventually("a watch", || discovery.open_watches() == 1);
     discovery.write(
-        &(list(2, false, &[member("node/2", ok.address, "Ready"), member("node/1", dies.address, "Gone")])
-            + "\n"),
+        &(endpoint_list(
+            2,
+            false,
+            &[endpoint_entry("node/2", ok.address, "Ready"), endpoint_entry("node/1", dies.address, "Gone")],
+        ) + "\n"),
     );
     eventually("the other serves", || {
         let text = request("a", false, "c", "1", "again");
-        gateway.client().raw(text.as_bytes()).map(|m| m.status()) == Some(200)
+        gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status()) == Some(200)
     });
     assert_eq!(dies.count(), 1);
 }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -41,7 +41,7 @@
     }
 
     /// Writes bytes, and reads a response; none if the connection is closed.
-    pub fn raw(&mut self, bytes: &[u8]) -> Option<Message> {
+    pub fn exchange_bytes(&mut self, bytes: &[u8]) -> Option<Message> {
         let _ = self.stream.write_all(bytes);
         self.read()
     }
@@ -54,7 +54,7 @@
     /// The response to a GET without the gateway's own headers; `headers` are whole lines.
     pub fn get(&mut self, path: &str, headers: &str) -> Message {
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\n{headers}\r\n");
-        self.raw(request.as_bytes()).expect("a response")
+        self.exchange_bytes(request.as_bytes()).expect("a response")
     }
 
     /// The response to a request of the idempotent class.
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -1,6 +1,6 @@
 //! A stub of a discovery agent, and the endpoint lists that it writes.
 
-use super::{answer, read_message};
+use super::{read_message, response_bytes};
 use socket2::SockRef;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -28,7 +28,7 @@
     /// Calls are accepted and never answered, as by an agent while discovery is down.
     pub unresponsive: Arc<AtomicBool>,
     /// What is written goes out in pieces of so many bytes.
-    pub piece: Arc<AtomicUsize>,
+    pub write_size: Arc<AtomicUsize>,
 }
 
 impl Discovery {
@@ -42,14 +42,14 @@
             watches: Arc::default(),
             silent_watches: Arc::default(),
             unresponsive: Arc::default(),
-            piece: Arc::new(AtomicUsize::new(usize::MAX)),
+            write_size: Arc::new(AtomicUsize::new(usize::MAX)),
         };
         let mut handler = Handler {
             list: discovery.list.clone(),
             requests_seen: discovery.requests_seen.clone(),
             watches: discovery.watches.clone(),
             unresponsive: discovery.unresponsive.clone(),
-            piece: discovery.piece.clone(),
+            write_size: discovery.write_size.clone(),
             unanswered: Vec::new(),
         };
         std::thread::spawn(move || listener.incoming().flatten().for_each(|stream| handler.serve(stream)));
@@ -61,7 +61,7 @@
     /// Writes to all watches, as a chunk of its own or several.
     pub fn write(&self, text: &str) {
         for stream in self.watches.lock().expect("a lock").iter_mut() {
-            for piece in text.as_bytes().chunks(self.piece.load(Ordering::SeqCst)) {
+            for piece in text.as_bytes().chunks(self.write_size.load(Ordering::SeqCst)) {
                 let head = format!("{:x}\r\n", piece.len());
                 let _ = stream.write_all(&[head.as_bytes(), piece, b"\r\n"].concat());
             }
@@ -76,12 +76,12 @@
     }
 
     /// Calls that have come.
-    pub fn calls(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.requests_seen.lock().expect("a lock").len()
     }
 
     /// Watches that are open.
-    pub fn watching(&self) -> usize {
+    pub fn open_watches(&self) -> usize {
         self.watches.lock().expect("a lock").len()
     }
 }
@@ -103,7 +103,7 @@
     requests_seen: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
     unresponsive: Arc<AtomicBool>,
-    piece: Arc<AtomicUsize>,
+    write_size: Arc<AtomicUsize>,
     /// Connections that came while the agent was deaf; they stay open.
     unanswered: Vec<TcpStream>,
 }
@@ -113,15 +113,17 @@
         let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
         stream.set_nodelay(true).expect("no delay");
         let Some(message) = read_message(&mut reader) else { return };
-        self.requests_seen.lock().expect("a lock").push(message.start.clone());
+        self.requests_seen.lock().expect("a lock").push(message.start_line.clone());
         if self.unresponsive.load(Ordering::SeqCst) {
             self.unanswered.push(stream);
-        } else if message.start.contains("follow=1") {
+        } else if message.start_line.contains("follow=1") {
             let _ = stream.write_all(&[WATCH_HEAD, HEARTBEAT_CHUNK].concat());
             self.watches.lock().expect("a lock").push(stream);
         } else {
             let list = self.list.lock().expect("a lock").clone();
-            for piece in answer("200 OK", "", list.as_bytes()).chunks(self.piece.load(Ordering::SeqCst)) {
+            for piece in
+                response_bytes("200 OK", "", list.as_bytes()).chunks(self.write_size.load(Ordering::SeqCst))
+            {
                 let _ = stream.write_all(piece);
             }
         }
@@ -129,13 +131,13 @@
 }
 
 /// One entry of a list.
-pub fn member(id: &str, address: SocketAddr, phase: &str) -> String {
+pub fn endpoint_entry(id: &str, address: SocketAddr, phase: &str) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
     )
 }
 
 /// A list of entries, complete or a change.
-pub fn list(revision: u64, complete: bool, members: &[String]) -> String {
+pub fn endpoint_list(revision: u64, complete: bool, members: &[String]) -> String {
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
 }
--- a/tests/support/message.rs
+++ b/tests/support/message.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// The request or status line.
-    pub start: String,
+    pub start_line: String,
     /// Names and values, in the order in which they came.
     pub headers: Vec<(String, String)>,
     /// The body.
@@ -21,7 +21,7 @@
 
     /// The status of a response.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
     }
 }
 
@@ -35,8 +35,8 @@
             return None;
         }
         let text = line.trim_end();
-        if message.start.is_empty() {
-            message.start = text.to_owned();
+        if message.start_line.is_empty() {
+            message.start_line = text.to_owned();
         } else if text.is_empty() {
             break;
         } else if let Some((name, value)) = text.split_once(':') {
@@ -50,7 +50,7 @@
 }
 
 /// The bytes of a response; `headers` are whole lines.
-pub fn answer(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
+pub fn response_bytes(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -20,12 +20,12 @@
 pub use self::{
     client::Client,
     counter::Counter,
-    discovery::{list, member, Discovery},
+    discovery::{endpoint_entry, endpoint_list, Discovery},
     gate::Gate,
     gateway_process::GatewayProcess,
-    message::{answer, read_message, Message},
+    message::{read_message, response_bytes, Message},
     server::{endpoints_of, Server, StubResponse},
-    setup::{start_stubs, Setup, WIDE},
-    unreachable::Unreachable,
-    wait::{eventually, within, WAIT_TIMEOUT},
+    setup::{start_stubs, Setup, LARGE_QUOTA_PLAN},
+    unreachable::UnreachableServer,
+    wait::{eventually, holds_within, WAIT_TIMEOUT},
 };
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,6 +1,6 @@
 //! A stub of a server.
 
-use super::{answer, eventually, member, read_message, Message};
+use super::{endpoint_entry, eventually, read_message, response_bytes, Message};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,13 +13,13 @@
     /// Writes these bytes.
     Write(Vec<u8>),
     /// Waits, then writes.
-    Late(Duration, Vec<u8>),
+    Delayed(Duration, Vec<u8>),
     /// Writes these bytes and closes.
     Close(Vec<u8>),
     /// Writes bytes, waits, and writes others that nobody asked for.
-    Twice(Vec<u8>, Duration, Vec<u8>),
+    WriteTwice(Vec<u8>, Duration, Vec<u8>),
     /// Writes nothing until the gateway closes.
-    Silence,
+    NoResponse,
 }
 
 /// A server whose `act` decides on each request.
@@ -27,13 +27,13 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The requests that have come.
-    pub seen: Arc<Mutex<Vec<Message>>>,
+    pub requests: Arc<Mutex<Vec<Message>>>,
     /// How many connections were accepted.
     pub connections: Arc<AtomicUsize>,
     /// How long each connection had been quiet when the gateway closed it; zero where the server did.
-    pub closed: Receiver<Duration>,
-    /// The second write of each [`StubResponse::Twice`] is done.
-    pub wrote: Receiver<()>,
+    pub idle_before_close: Receiver<Duration>,
+    /// The second write of each [`StubResponse::WriteTwice`] is done.
+    pub second_writes: Receiver<()>,
 }
 
 impl Server {
@@ -48,12 +48,16 @@
         act: impl Fn(&Message) -> StubResponse + Send + Sync + 'static,
     ) -> Server {
         let address = listener.local_addr().expect("an address");
-        let seen = Arc::new(Mutex::new(Vec::new()));
+        let requests = Arc::new(Mutex::new(Vec::new()));
         let connections = Arc::new(AtomicUsize::new(0));
-        let (closed_sender, closed) = channel();
-        let (wrote_sender, wrote) = channel();
-        let handler =
-            Handler { act: Arc::new(act), seen: seen.clone(), closed: closed_sender, wrote: wrote_sender };
+        let (idle_sender, idle_before_close) = channel();
+        let (write_sender, second_writes) = channel();
+        let handler = Handler {
+            act: Arc::new(act),
+            requests: requests.clone(),
+            idle_before_close: idle_sender,
+            second_writes: write_sender,
+        };
         let accepted = connections.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -62,34 +66,38 @@
                 std::thread::spawn(move || handler.serve(stream));
             }
         });
-        Server { address, seen, connections, closed, wrote }
+        Server { address, requests, connections, idle_before_close, second_writes }
     }
 
     /// A server that answers each request with its request line.
     pub fn ok() -> Server {
         Server::start(|message| {
-            StubResponse::Write(answer("200 OK", "X-Backend-Load: queue=0\r\n", message.start.as_bytes()))
+            StubResponse::Write(response_bytes(
+                "200 OK",
+                "X-Backend-Load: queue=0\r\n",
+                message.start_line.as_bytes(),
+            ))
         })
     }
 
     /// Requests that have come.
     pub fn count(&self) -> usize {
-        self.seen.lock().expect("a lock").len()
+        self.requests.lock().expect("a lock").len()
     }
 }
 
 /// A server's entries under many ids, so that no limit on requests in flight at one is met.
 pub fn endpoints_of(server: &Server) -> Vec<String> {
-    (10..40).map(|id| member(&format!("s-000000{id}"), server.address, "Ready")).collect()
+    (10..40).map(|id| endpoint_entry(&format!("s-000000{id}"), server.address, "Ready")).collect()
 }
 
 /// Serves connections of a server.
 #[derive(Clone)]
 struct Handler {
     act: Arc<dyn Fn(&Message) -> StubResponse + Send + Sync>,
-    seen: Arc<Mutex<Vec<Message>>>,
-    closed: Sender<Duration>,
-    wrote: Sender<()>,
+    requests: Arc<Mutex<Vec<Message>>>,
+    idle_before_close: Sender<Duration>,
+    second_writes: Sender<()>,
 }
 
 impl Handler {
@@ -98,24 +106,26 @@
         loop {
             let quiet_since = Instant::now();
             let Some(message) = read_message(&mut reader) else {
-                let _ = self.closed.send(quiet_since.elapsed());
+                let _ = self.idle_before_close.send(quiet_since.elapsed());
                 return;
             };
-            self.seen.lock().expect("a lock").push(message.clone());
+            self.requests.lock().expect("a lock").push(message.clone());
             match (self.act)(&message) {
                 StubResponse::Write(bytes) => _ = stream.write_all(&bytes),
-                StubResponse::Twice(bytes, wait, more) => self.write_twice(&mut stream, bytes, wait, more),
-                StubResponse::Late(wait, bytes) => {
+                StubResponse::WriteTwice(bytes, wait, more) => {
+                    self.write_twice(&mut stream, bytes, wait, more)
+                }
+                StubResponse::Delayed(wait, bytes) => {
                     std::thread::sleep(wait);
                     let _ = stream.write_all(&bytes);
                 }
                 StubResponse::Close(bytes) => {
                     write_and_close(&mut stream, &bytes);
                     drop((stream, reader));
-                    let _ = self.closed.send(Duration::ZERO);
+                    let _ = self.idle_before_close.send(Duration::ZERO);
                     return;
                 }
-                StubResponse::Silence => {}
+                StubResponse::NoResponse => {}
             }
         }
     }
@@ -129,7 +139,7 @@
             std::thread::sleep(wait);
             let _ = stream.write_all(&more);
         }
-        let _ = self.wrote.send(());
+        let _ = self.second_writes.send(());
     }
 }
 
--- a/tests/support/setup.rs
+++ b/tests/support/setup.rs
@@ -1,6 +1,6 @@
 //! What a gateway is started with.
 
-use super::{eventually, list, Counter, Discovery, GatewayProcess};
+use super::{endpoint_list, eventually, Counter, Discovery, GatewayProcess};
 use std::net::SocketAddr;
 
 /// What a gateway is started with.
@@ -12,15 +12,15 @@
     /// The counter.
     pub counter: SocketAddr,
     /// The endpoint list that it knows at its start.
-    pub known: String,
+    pub initial_list: String,
     /// Sockets that it may use.
     pub sockets: usize,
     /// Memory that it may use, MB.
     pub memory_mb: f64,
     /// The shell's limit on descriptors.
-    pub descriptors: Option<usize>,
+    pub descriptor_limit: Option<usize>,
     /// Time after which an idle connection is closed, ms.
-    pub conn_idle: f64,
+    pub idle_timeout: f64,
     /// Time-out of a connection to a server, ms.
     pub connect_timeout: f64,
     /// Time-out of a counter call, ms.
@@ -36,7 +36,7 @@
 }
 
 /// A plan whose quota no test reaches.
-pub const WIDE: &str = r#"{"name":"team","rate":100000,"store_size":100000}"#;
+pub const LARGE_QUOTA_PLAN: &str = r#"{"name":"team","rate":100000,"store_size":100000}"#;
 
 /// A request class as the configuration file names its fields.
 fn class(name: &str, idempotency: &str, goal: u32, deadline: u32) -> String {
@@ -52,16 +52,16 @@
             listen: "127.0.0.1:0".into(),
             discovery,
             counter,
-            known: known.into(),
+            initial_list: known.into(),
             sockets: 1024,
             memory_mb: 192.0,
-            descriptors: None,
-            conn_idle: 15_000.0,
+            descriptor_limit: None,
+            idle_timeout: 15_000.0,
             connect_timeout: 250.0,
             counter_timeout: 50.0,
             cancellation_allowed: true,
             gateways: 2,
-            plan: WIDE,
+            plan: LARGE_QUOTA_PLAN,
             settings: None,
         }
     }
@@ -94,11 +94,11 @@
             self.counter,
             self.sockets,
             self.memory_mb,
-            self.known,
+            self.initial_list,
             self.gateways,
             classes.join(","),
             self.plan,
-            self.conn_idle,
+            self.idle_timeout,
             self.connect_timeout,
             self.cancellation_allowed,
             self.counter_timeout
@@ -114,13 +114,13 @@
 
     /// Starts the gateway and waits until it listens.
     pub fn launch(&self) -> GatewayProcess {
-        GatewayProcess::launch(&self.config(), self.descriptors, self.gateways)
+        GatewayProcess::launch(&self.config(), self.descriptor_limit, self.gateways)
     }
 }
 
 /// Discovery that holds these members, a counter, and a setup by which they are known from the start.
 pub fn start_stubs(members: &[String]) -> (Setup, Discovery, Counter) {
-    let known = list(1, true, members);
+    let known = endpoint_list(1, true, members);
     let discovery = Discovery::start(known.clone());
     let counter = Counter::ok();
     (Setup::new(discovery.address, counter.address, &known), discovery, counter)
--- a/tests/support/unreachable.rs
+++ b/tests/support/unreachable.rs
@@ -17,14 +17,14 @@
 const BACKLOG: i32 = 1024;
 
 /// A server whose connections come up only once it is told to: its queue of connections is full until then.
-pub struct Unreachable {
+pub struct UnreachableServer {
     socket: Socket,
     /// Where it will listen.
     pub address: SocketAddr,
     fill: Vec<TcpStream>,
 }
 
-impl Unreachable {
+impl UnreachableServer {
     /// Listens, and fills the queue.
     #[allow(clippy::new_without_default)] // opens sockets
     pub fn new() -> Self {
@@ -38,7 +38,7 @@
             fill.push(stream);
             assert!(fill.len() < MAX_FILL, "its queue is never full");
         }
-        Unreachable { socket, address, fill }
+        UnreachableServer { socket, address, fill }
     }
 
     /// Serves all connections from now on, and gives that server and what fills its queue.
@@ -63,7 +63,7 @@
 
     /// Takes all connections from now on. Counts the bytes that come on them, and those of the gateway's
     /// that have come up and are closed.
-    pub fn open(self) -> (Arc<AtomicUsize>, Arc<AtomicUsize>) {
+    pub fn accept_and_count(self) -> (Arc<AtomicUsize>, Arc<AtomicUsize>) {
         let bytes = Arc::new(AtomicUsize::new(0));
         let closed = Arc::new(AtomicUsize::new(0));
         let counts = (bytes.clone(), closed.clone());
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -11,11 +11,11 @@
 
 /// Waits until a condition holds, and fails the test if it never does.
 pub fn eventually(what: &str, holds: impl FnMut() -> bool) {
-    assert!(within(WAIT_TIMEOUT, holds), "never: {what}");
+    assert!(holds_within(WAIT_TIMEOUT, holds), "never: {what}");
 }
 
 /// Whether a condition holds within a time. Looks less and less often: a look may cost the machine much.
-pub fn within(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
+pub fn holds_within(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + time;
     let mut pause = FIRST_PAUSE;
     while !holds() {
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -41,8 +41,10 @@
     for bytes in [1, 100, 3000] {
         let (a, at_a) = start_resetting_server(bytes);
         let (b, at_b) = start_resetting_server(bytes);
-        let (setup, _discovery, _counter) =
-            start_stubs(&[member("s-00000001", a, "Ready"), member("s-00000002", b, "Ready")]);
+        let (setup, _discovery, _counter) = start_stubs(&[
+            endpoint_entry("s-00000001", a, "Ready"),
+            endpoint_entry("s-00000002", b, "Ready"),
+        ]);
         let gateway = setup.start();
         let mut client = gateway.client();
         client.send("POST", "once", "X-Time-Left: 1.9\r\n", &vec![b'x'; 64 * 1024]);
@@ -58,21 +60,21 @@
 #[test]
 fn nothing_is_sent_on_a_connection_that_comes_up_after_its_server_began_to_drain() {
     for (phase, cancellation_allowed) in [("Terminating", true), ("Gone", true), ("Terminating", false)] {
-        let (unreachable, ok) = (Unreachable::new(), Server::ok());
+        let (unreachable, ok) = (UnreachableServer::new(), Server::ok());
         let (mut setup, discovery, _counter) =
-            start_stubs(&[member("s-00000001", unreachable.address, "Ready")]);
+            start_stubs(&[endpoint_entry("s-00000001", unreachable.address, "Ready")]);
         (setup.connect_timeout, setup.cancellation_allowed) = (60_000.0, cancellation_allowed);
         let gateway = setup.start();
-        eventually("a watch", || discovery.watching() == 1);
+        eventually("a watch", || discovery.open_watches() == 1);
         let mut client = gateway.client();
         client.send("POST", "long", "X-Time-Left: 29\r\n", b"{}");
         // Accepted in order, so the request has been received and its connection is being opened.
         assert_eq!(gateway.client().get("/healthz", "").status(), 200);
-        let drained = member("s-00000001", unreachable.address, phase);
-        let ready = member("s-00000002", ok.address, "Ready");
-        discovery.write(&(list(2, false, &[drained, ready]) + "\n"));
+        let drained = endpoint_entry("s-00000001", unreachable.address, phase);
+        let ready = endpoint_entry("s-00000002", ok.address, "Ready");
+        discovery.write(&(endpoint_list(2, false, &[drained, ready]) + "\n"));
         eventually("the list is applied", || gateway.client().get_idempotent().status() == 200);
-        let (bytes_received, closed) = unreachable.open();
+        let (bytes_received, closed) = unreachable.accept_and_count();
         // It comes up when the kernel retransmits, after 1, 3 or 7 s.
         eventually("the connection is up and closed again", || closed.load(Ordering::SeqCst) > 0);
         assert_eq!(client.read().map(|m| m.status()), Some(200), "{phase}: not executed, so retried");
@@ -84,10 +86,10 @@
 /// executed and are retried elsewhere; nothing may be sent on connections that come up later.
 #[test]
 fn nothing_is_sent_on_a_connection_that_comes_up_after_the_connect_timeout() {
-    let (unreachable, ok) = (Unreachable::new(), Server::ok());
+    let (unreachable, ok) = (UnreachableServer::new(), Server::ok());
     let (setup, _discovery, _counter) = start_stubs(&[
-        member("s-00000001", unreachable.address, "Ready"),
-        member("s-00000002", ok.address, "Ready"),
+        endpoint_entry("s-00000001", unreachable.address, "Ready"),
+        endpoint_entry("s-00000002", ok.address, "Ready"),
     ]);
     let gateway = setup.start();
     let mut clients: Vec<Client> = (0..6).map(|_| gateway.client()).collect();
@@ -95,7 +97,7 @@
     for client in &mut clients {
         assert_eq!(client.read().map(|m| m.status()), Some(200));
     }
-    let (bytes_received, _closed) = unreachable.open();
+    let (bytes_received, _closed) = unreachable.accept_and_count();
     assert_eq!(gateway.client().get_idempotent().status(), 200);
     assert_eq!((bytes_received.load(Ordering::SeqCst), ok.count()), (0, 7));
 }
@@ -108,7 +110,10 @@
     let requests = AtomicUsize::new(0);
     let server = Server::start(move |m| {
         let delay = 250 + 2 * (requests.fetch_add(1, Ordering::SeqCst) as u64 % 30);
-        StubResponse::Late(Duration::from_millis(delay), answer("200 OK", "", m.start.as_bytes()))
+        StubResponse::Delayed(
+            Duration::from_millis(delay),
+            response_bytes("200 OK", "", m.start_line.as_bytes()),
+        )
     });
     let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let gateway = setup.start();
@@ -123,7 +128,7 @@
             assert_eq!((health.status(), health.body.as_slice()), (200, &b"ok\n"[..]));
         }
     }
-    let seen = server.seen.lock().expect("a lock");
+    let seen = server.requests.lock().expect("a lock");
     let mut ids: Vec<&str> = seen.iter().filter_map(|m| m.header("x-correlation-id")).collect();
     let sent = ids.len();
     ids.sort_unstable();
@@ -139,13 +144,13 @@
     let gate = Gate::default();
     let (held, attempts) = (gate.clone(), AtomicUsize::new(0));
     let server = Server::start(move |m| {
-        if m.start.contains("&name=slow") {
+        if m.start_line.contains("&name=slow") {
             match attempts.fetch_add(1, Ordering::SeqCst) {
                 0 => held.wait(),
                 _ => held.open(),
             }
         }
-        StubResponse::Write(answer("200 OK", "", m.start.as_bytes()))
+        StubResponse::Write(response_bytes("200 OK", "", m.start_line.as_bytes()))
     });
     let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let gateway = setup.start();
@@ -156,9 +161,14 @@
     }
     let slow = "GET /look?customer=00000000b4d65521&name=slow HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: slow\r\n\
          X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 2.0\r\nX-Quota: units=1,spread=2,first=0\r\n\r\n";
-    let response = client.raw(slow.as_bytes()).expect("a response");
-    let attempts =
-        server.seen.lock().expect("a lock").iter().filter(|m| m.start.contains("&name=slow")).count();
+    let response = client.exchange_bytes(slow.as_bytes()).expect("a response");
+    let attempts = server
+        .requests
+        .lock()
+        .expect("a lock")
+        .iter()
+        .filter(|m| m.start_line.contains("&name=slow"))
+        .count();
     // Where a busy machine has made the mean latency long, the timeout came before a second attempt was due.
     let status = response.status();
     assert!(status == 200 && attempts == 2 || attempts == 1, "{status} after {attempts} attempts");
@@ -175,9 +185,9 @@
 /// a client that has given up, so the attempt states what is left once the connection is up.
 #[test]
 fn an_attempt_states_the_time_left_once_its_connection_is_up() {
-    let unreachable = Unreachable::new();
+    let unreachable = UnreachableServer::new();
     let (mut setup, _discovery, _counter) =
-        start_stubs(&[member("s-00000001", unreachable.address, "Ready")]);
+        start_stubs(&[endpoint_entry("s-00000001", unreachable.address, "Ready")]);
     setup.connect_timeout = 60_000.0;
     let gateway = setup.start();
     let mut client = gateway.client();
