--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -99,7 +99,7 @@
             counter.connections.load(Ordering::SeqCst) >= 4
         });
         let clients = send_requests(&gateway, "disconnected", client_count(kind));
-        eventually("the gateway calls the counter", || counter.requests_seen.load(Ordering::SeqCst) > 0);
+        eventually("the gateway calls the counter", || counter.calls_received.load(Ordering::SeqCst) > 0);
         wait_until_gateway_has_read_all(&gateway);
         clients.into_iter().for_each(|client| disconnect(client, kind));
         wait_for_disconnects(&gateway, 0);
--- a/tests/end_to_end/endpoint_watch.rs
+++ b/tests/end_to_end/endpoint_watch.rs
@@ -20,7 +20,7 @@
     let (a, b, c) = (Server::ok(), Server::ok(), Server::ok());
     let (gateway, discovery, _counter) = start_gateway(&[&a, &b, &c]);
     let mut client = gateway.client();
-    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+    eventually("the gateway opens a watch", || discovery.watch_count() == 1);
     assert_eq!(concurrent_statuses(&gateway, 12), [200; 12]);
     // A chunk may end anywhere, including in the middle of a line.
     let line = event(2, false, &[entry(0, &a, "Terminating")]);
@@ -55,12 +55,12 @@
 fn an_invalid_watch_event_is_followed_by_a_request_for_the_complete_list() {
     let (a, b) = (Server::ok(), Server::ok());
     let (gateway, discovery, _counter) = start_gateway(&[&a]);
-    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+    eventually("the gateway opens a watch", || discovery.watch_count() == 1);
     assert_eq!(gateway.client().get_idempotent().status(), 200);
     *discovery.list.lock().expect("lock poisoned") = endpoint_list(9, true, &[entry(1, &b, "Ready")]);
     discovery.write("{\"revision\": oops\n");
-    eventually("the gateway opens a new watch", || discovery.open_watches() == 2);
-    let requests = discovery.requests_seen.lock().expect("lock poisoned").clone();
+    eventually("the gateway opens a new watch", || discovery.watch_count() == 2);
+    let requests = discovery.request_lines.lock().expect("lock poisoned").clone();
     assert!(requests[1].contains("/v1/servers HTTP"), "not a request for the complete list: {requests:?}");
     assert!(requests[2].contains("since=9"), "not a watch from revision 9: {requests:?}");
     assert_eq!(gateway.client().get_idempotent().status(), 200);
@@ -71,7 +71,7 @@
 fn a_watch_event_may_span_several_lines() {
     let (a, b) = (Server::ok(), Server::ok());
     let (gateway, discovery, _counter) = start_gateway(&[&a, &b]);
-    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+    eventually("the gateway opens a watch", || discovery.watch_count() == 1);
     assert_eq!(concurrent_statuses(&gateway, 8), [200; 8]);
     let line = endpoint_list(2, false, &[entry(0, &a, "Terminating")]);
     let multi_line = line.replace('{', "{\n  ").replace(',', ",\n\n    ").replace('}', "\n}");
@@ -83,7 +83,7 @@
     let count_at_drain = a.count();
     assert_eq!(concurrent_statuses(&gateway, 8), [200; 8]);
     assert_eq!(a.count(), count_at_drain, "the draining server got a request");
-    let requests = discovery.requests_seen.lock().expect("lock poisoned").clone();
+    let requests = discovery.request_lines.lock().expect("lock poisoned").clone();
     assert_eq!(requests.len(), 1, "the watch was reopened: {requests:?}");
 }
 
@@ -102,13 +102,13 @@
         r#"{"revision":2}"#.to_owned() + "\n",
     ] {
         let (gateway, discovery, _counter) = start_gateway(&[&a]);
-        eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+        eventually("the gateway opens a watch", || discovery.watch_count() == 1);
         *discovery.list.lock().expect("lock poisoned") =
             endpoint_list(9, true, std::slice::from_ref(&valid_entry));
         let count_before = a.count();
         discovery.write(&invalid_event);
-        eventually("the gateway opens a new watch", || discovery.open_watches() == 2);
-        let requests = discovery.requests_seen.lock().expect("lock poisoned").clone();
+        eventually("the gateway opens a new watch", || discovery.watch_count() == 2);
+        let requests = discovery.request_lines.lock().expect("lock poisoned").clone();
         assert!(
             requests[1].contains("/v1/servers HTTP") && requests[2].contains("since=9"),
             "the complete list was not requested and watched after {invalid_event:?}: {requests:?}"
@@ -128,19 +128,19 @@
 fn a_complete_list_with_an_invalid_entry_is_requested_once() {
     let a = Server::ok();
     let (gateway, discovery, _counter) = start_gateway(&[&a]);
-    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+    eventually("the gateway opens a watch", || discovery.watch_count() == 1);
     let invalid_entry = r#"{"id":7}"#.to_owned();
     *discovery.list.lock().expect("lock poisoned") =
         endpoint_list(9, true, &[invalid_entry.clone(), entry(0, &a, "Ready")]);
     discovery.write(&event(8, false, std::slice::from_ref(&invalid_entry)));
-    eventually("the gateway opens a new watch", || discovery.open_watches() == 2);
+    eventually("the gateway opens a new watch", || discovery.watch_count() == 2);
     // A complete list that arrives on the watch itself is not requested again either.
     discovery.write(&event(10, true, &[invalid_entry, entry(0, &a, "Terminating")]));
     eventually("the gateway applies the drain of the only server", || {
         gateway.client().get_idempotent().status() != 200
     });
     assert_eq!(
-        discovery.requests_seen.lock().expect("lock poisoned").len(),
+        discovery.request_lines.lock().expect("lock poisoned").len(),
         3,
         "the list was requested again"
     );
@@ -159,7 +159,7 @@
     eventually("the gateway requests the list several times", || discovery.call_count() >= 3);
     *discovery.list.lock().expect("lock poisoned") = endpoint_list(7, true, &[entry(1, &b, "Ready")]);
     discovery.unresponsive.store(false, Ordering::SeqCst);
-    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+    eventually("the gateway opens a watch", || discovery.watch_count() == 1);
     discovery.write(&event(8, false, &[entry(0, &a, "Gone"), entry(1, &b, "Ready")]));
     assert_idle_connection_closed(&a);
     assert_eq!(gateway.client().get_idempotent().status(), 200);
@@ -175,7 +175,7 @@
     let (a, b) = (Server::ok(), Server::ok());
     let (mut setup, first, _counter) = gateway_setup(&[&a]);
     let gateway = setup.start();
-    eventually("the gateway opens a watch", || first.open_watches() == 1);
+    eventually("the gateway opens a watch", || first.watch_count() == 1);
     let change = event(5, false, &[entry(1, &b, "Ready")]);
     first.write(&change);
     eventually("the gateway applies the change", || {
@@ -183,8 +183,8 @@
     });
     first.write(&change[..40]);
     first.reset();
-    eventually("the gateway opens a new watch", || first.open_watches() == 1);
-    let requests = first.requests_seen.lock().expect("lock poisoned").clone();
+    eventually("the gateway opens a new watch", || first.watch_count() == 1);
+    let requests = first.request_lines.lock().expect("lock poisoned").clone();
     assert!(
         requests.last().is_some_and(|a| a.contains("follow=1&since=5")),
         "the watch was not resumed from revision 5: {requests:?}"
@@ -198,8 +198,8 @@
     *second.list.lock().expect("lock poisoned") = endpoint_list(1, true, &[entry(1, &b, "Ready")]);
     setup.discovery = second.address;
     gateway.reload(&setup.config());
-    eventually("the gateway opens a watch at the new agent", || second.open_watches() == 1);
-    let requests = second.requests_seen.lock().expect("lock poisoned").clone();
+    eventually("the gateway opens a watch at the new agent", || second.watch_count() == 1);
+    let requests = second.request_lines.lock().expect("lock poisoned").clone();
     assert!(
         requests[0].contains("/v1/servers HTTP"),
         "the complete list of the new agent was not requested: {requests:?}"
@@ -218,10 +218,10 @@
 fn a_watch_without_heartbeats_is_reopened() {
     let server = Server::ok();
     let (_gateway, discovery, _counter) = start_gateway(&[&server]);
-    eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+    eventually("the gateway opens a watch", || discovery.watch_count() == 1);
     discovery.silent_watches.store(true, Ordering::SeqCst);
     let start = Instant::now();
-    eventually("the gateway opens a new watch", || discovery.open_watches() == 2);
+    eventually("the gateway opens a new watch", || discovery.watch_count() == 2);
     assert!(
         start.elapsed() < Duration::from_secs(4),
         "the watch was only reopened after {:?}",
--- a/tests/end_to_end/lifecycle.rs
+++ b/tests/end_to_end/lifecycle.rs
@@ -91,8 +91,8 @@
     let (second, second_counter) = (Discovery::start(ready_list(0, &[&slow, &other])), Counter::ok());
     (setup.discovery, setup.counter) = (second.address, second_counter.address);
     gateway.reload(&setup.config());
-    eventually("the gateway opens a watch at the new agent", || second.open_watches() == 1);
-    let first_request = second.requests_seen.lock().expect("lock poisoned")[0].clone();
+    eventually("the gateway opens a watch at the new agent", || second.watch_count() == 1);
+    let first_request = second.request_lines.lock().expect("lock poisoned")[0].clone();
     assert!(
         first_request.contains("/v1/servers HTTP"),
         "not a request for the complete list: {first_request}"
@@ -106,7 +106,7 @@
     (setup.discovery, setup.counter) = (first.address, counter.address);
     let calls_before = counter.calls.load(Ordering::SeqCst);
     gateway.reload(&setup.config());
-    eventually("the gateway watches the first agent again", || first.open_watches() == 2);
+    eventually("the gateway watches the first agent again", || first.watch_count() == 2);
     send_until("the first counter receives a call again", &|| {
         counter.calls.load(Ordering::SeqCst) > calls_before
     });
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -40,7 +40,7 @@
     eventually("the list sent over the existing watch is applied", || {
         gateway.client().get_idempotent().status() == 200 && next.count() > 0
     });
-    let requests = discovery.requests_seen.lock().expect("the lock is not poisoned").clone();
+    let requests = discovery.request_lines.lock().expect("the lock is not poisoned").clone();
     assert_eq!(requests.len(), calls, "the gateway called discovery again: {requests:?}");
 }
 
@@ -68,7 +68,7 @@
             text.len()
         );
         assert_eq!(gateway.client().get_idempotent().status(), 200);
-        eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+        eventually("the gateway opens a watch", || discovery.watch_count() == 1);
         assert_watch_kept(&gateway, &discovery, discovery.call_count(), &next);
     }
 }
@@ -82,7 +82,7 @@
         let (setup, discovery, _counter) = start_stubs(&[endpoint_entry("s-0fffffff", old.address, "Ready")]);
         discovery.write_size.store(SEGMENT_BYTES, Ordering::SeqCst);
         let gateway = setup.start();
-        eventually("the gateway opens a watch", || discovery.open_watches() == 1);
+        eventually("the gateway opens a watch", || discovery.watch_count() == 1);
         let text = complete_list(7, &server, indented);
         let (start, cpu_at_start) = (Instant::now(), cpu_time(&gateway));
         discovery.write(&text);
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -168,7 +168,7 @@
         setup.sockets = MIN_SOCKETS;
         setup.descriptor_limit = Some(MIN_SOCKETS);
         let gateway = setup.start();
-        eventually("a watch", || discovery.open_watches() > 0);
+        eventually("a watch", || discovery.watch_count() > 0);
         eventually("connections to the counter", || has_connections(&counter));
         let new_discovery = Discovery::start(endpoint_list(7, true, &members(new_server)));
         let new_counter = Counter::ok();
@@ -190,12 +190,12 @@
         eventually("connections to the new counter", || has_connections(new_counter));
         let started = Instant::now();
         new_discovery.unresponsive.store(false, Ordering::SeqCst);
-        eventually("a watch after the list", || new_discovery.open_watches() > 0);
+        eventually("a watch after the list", || new_discovery.watch_count() > 0);
         let elapsed = started.elapsed();
         let descriptors = descriptors(gateway);
         println!("in force {elapsed:.2?} after discovery's return, {descriptors} descriptors");
         assert!(elapsed < IN_FORCE_WITHIN, "in force after {elapsed:?}");
-        let calls = new_discovery.requests_seen.lock().expect("a lock").clone();
+        let calls = new_discovery.request_lines.lock().expect("a lock").clone();
         assert!(calls.iter().any(|call| call.contains("since=7")), "{calls:?}");
     }
 }
--- a/tests/settings_variety.rs
+++ b/tests/settings_variety.rs
@@ -159,7 +159,7 @@
         (Some(502), 1, 0),
         "may have been executed: failed, not rejected"
     );
-    eventually("a watch", || discovery.open_watches() == 1);
+    eventually("a watch", || discovery.watch_count() == 1);
     discovery.write(
         &(endpoint_list(
             2,
--- a/tests/support/counter.rs
+++ b/tests/support/counter.rs
@@ -15,7 +15,7 @@
     /// Calls for which `twist` was called.
     pub calls: Arc<AtomicUsize>,
     /// Calls that were read, whether or not `twist` has returned for them.
-    pub requests_seen: Arc<AtomicUsize>,
+    pub calls_received: Arc<AtomicUsize>,
     /// Connections that were accepted.
     pub connections: Arc<AtomicUsize>,
 }
@@ -35,7 +35,7 @@
             address: listener.local_addr().expect("an address"),
             added: handler.added.clone(),
             calls: handler.calls.clone(),
-            requests_seen: handler.requests_seen.clone(),
+            calls_received: handler.requests_seen.clone(),
             connections: Arc::default(),
         };
         let connections = counter.connections.clone();
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -21,7 +21,7 @@
     /// The complete list.
     pub list: Arc<Mutex<String>>,
     /// Request lines of the calls that have come.
-    pub requests_seen: Arc<Mutex<Vec<String>>>,
+    pub request_lines: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
     /// Watches send no empty lines, as if they were dead.
     pub silent_watches: Arc<AtomicBool>,
@@ -38,7 +38,7 @@
         let discovery = Discovery {
             address: listener.local_addr().expect("an address"),
             list: Arc::new(Mutex::new(list)),
-            requests_seen: Arc::default(),
+            request_lines: Arc::default(),
             watches: Arc::default(),
             silent_watches: Arc::default(),
             unresponsive: Arc::default(),
@@ -46,7 +46,7 @@
         };
         let mut handler = Handler {
             list: discovery.list.clone(),
-            requests_seen: discovery.requests_seen.clone(),
+            requests_seen: discovery.request_lines.clone(),
             watches: discovery.watches.clone(),
             unresponsive: discovery.unresponsive.clone(),
             write_size: discovery.write_size.clone(),
@@ -77,11 +77,11 @@
 
     /// Calls that have come.
     pub fn call_count(&self) -> usize {
-        self.requests_seen.lock().expect("a lock").len()
+        self.request_lines.lock().expect("a lock").len()
     }
 
     /// Watches that are open.
-    pub fn open_watches(&self) -> usize {
+    pub fn watch_count(&self) -> usize {
         self.watches.lock().expect("a lock").len()
     }
 }
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -65,7 +65,7 @@
             start_stubs(&[endpoint_entry("s-00000001", unreachable.address, "Ready")]);
         (setup.connect_timeout, setup.cancellation_allowed) = (60_000.0, cancellation_allowed);
         let gateway = setup.start();
-        eventually("a watch", || discovery.open_watches() == 1);
+        eventually("a watch", || discovery.watch_count() == 1);
         let mut client = gateway.client();
         client.send("POST", "long", "X-Time-Left: 29\r\n", b"{}");
         // Accepted in order, so the request has been received and its connection is being opened.
