--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -33,7 +33,7 @@
         let attempt = AttemptId { request: id, number };
         match self.prepare_attempt(request, attempt, server, timeout, now) {
             Ok(spec) => {
-                let timeout_at = spec.ends;
+                let timeout_at = spec.timeout_at;
                 let task = tokio::task::spawn_local(upstream::attempt(self.clone(), spec));
                 request.set_task(number, task.abort_handle());
                 self.timers.arm(timeout_at, TimerKind::Attempt(attempt));
@@ -71,7 +71,7 @@
             server,
             address,
             forward: request.forward.clone(),
-            ends: now + timeout,
+            timeout_at: now + timeout,
         })
     }
 
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -44,7 +44,7 @@
     /// What is sent.
     pub forward: Rc<ForwardedRequest>,
     /// When the attempt times out, Unix ms.
-    pub ends: Millis,
+    pub timeout_at: Millis,
 }
 
 /// How an attempt ended.
@@ -156,7 +156,7 @@
     let (asked, id, server) = (owner.clone(), spec.id, spec.server);
     connection.exchange.begin(Box::new(move || asked.check_may_begin(id, server).is_ok()));
     // Computed now, as the connection may have taken long to come up.
-    let time_left = spec.ends - owner.now();
+    let time_left = spec.timeout_at - owner.now();
     let request = spec.forward.to_upstream(spec.address, time_left);
     let sent = connection.sender.try_send_request(request).await;
     connection.exchange.end();
