--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a server: from obtaining a connection to reporting the result.
+//! One attempt to send a request to a server, from obtaining a connection to reporting the result.
 
 use super::connection::Connection;
 use super::pool::ConnectionPool;
@@ -13,41 +13,41 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What an attempt needs from its owner, which also takes the result.
+/// The owner of an attempt: it provides what the attempt needs and receives the result.
 pub trait AttemptOwner: EventSink {
-    /// Connections to servers.
+    /// The pool of connections to servers.
     fn pool(&self) -> &ConnectionPool;
 
-    /// Whether an attempt may begin.
+    /// Checks whether an attempt may begin.
     ///
     /// # Errors
-    /// How the attempt has ended, if it may not.
+    /// The outcome of the attempt if it may not begin.
     fn check_may_begin(&self, id: RequestId, server: ServerId) -> Result<(), Outcome>;
 
-    /// Whether a server may be sent new requests.
+    /// Whether new requests may be sent to a server.
     fn accepts_requests(&self, server: ServerId) -> bool;
 
-    /// An attempt has ended, with the response's body if there was a response.
+    /// Receives the outcome of an attempt and, if the server sent a valid response, the response's body.
     fn attempt_ended(&self, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>);
 }
 
-/// An attempt to be made.
+/// Describes an attempt to make.
 pub struct AttemptSpec {
-    /// The client's request.
+    /// ID of the client's request.
     pub id: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within the request, starting at 0.
     pub number: u8,
-    /// The server.
+    /// The server to send the request to.
     pub server: ServerId,
     /// The server's address.
     pub address: SocketAddr,
-    /// What is sent.
+    /// The request to send.
     pub forward: Rc<ForwardedRequest>,
-    /// When the attempt times out, Unix ms.
+    /// Unix time at which the attempt times out, ms.
     pub timeout_at: Millis,
 }
 
-/// How an attempt ended.
+/// The result of an attempt that has ended.
 struct AttemptResult {
     outcome: Outcome,
     body: Option<Bytes>,
@@ -59,15 +59,15 @@
     }
 }
 
-/// Makes one attempt and reports its result. Cancelled, it closes its connection.
+/// Makes one attempt and reports its result. If the task is cancelled, the connection is closed.
 pub async fn attempt<O: AttemptOwner + Clone + 'static>(owner: O, spec: AttemptSpec) {
     let guard = CompletionGuard { owner: owner.clone(), id: spec.id, number: spec.number, reported: false };
     let result = run(&owner, &spec).await;
     guard.complete(result);
 }
 
-/// Reports that the request may have been executed, should the attempt's task be dropped before its result is
-/// known.
+/// Reports [`Outcome::Reset`] (the request may have been executed) if the attempt's task is dropped before
+/// its result is known.
 struct CompletionGuard<O: AttemptOwner> {
     owner: O,
     id: RequestId,
@@ -94,38 +94,40 @@
     }
 }
 
-/// Where an attempt's connection came from.
+/// Whether an attempt reuses a pooled connection or has opened a new one.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Origin {
-    ConnectionPool,
+enum ConnectionSource {
+    Pool,
     New,
 }
 
-/// Why a request brought no response.
+/// Why no response was received for a request.
 enum SendError {
-    /// The connection was closed before it took the request.
+    /// The connection was closed before the request was passed to it.
     Closed,
-    /// The connection took the request and failed before the first byte: nothing was sent.
+    /// The connection failed after the request was passed to it, but before any byte was written.
     NothingWritten,
-    /// The connection failed with some of the request written: it may have been executed.
+    /// The connection failed after at least one byte was written, so the request may have been executed.
     AfterFirstByte(Outcome),
 }
 
 async fn run<O: AttemptOwner + Clone + 'static>(owner: &O, spec: &AttemptSpec) -> AttemptResult {
     loop {
-        // Before a connection is taken or opened, as a connection is closed when its attempt is given up.
+        // Checked before a connection is taken or opened, because the connection is closed if its attempt is
+        // abandoned.
         if let Err(outcome) = owner.check_may_begin(spec.id, spec.server) {
             return AttemptResult::without_body(outcome);
         }
-        let (mut connection, origin) = match obtain_connection(owner, spec).await {
+        let (mut connection, source) = match obtain_connection(owner, spec).await {
             Ok(obtained) => obtained,
             Err(outcome) => return AttemptResult::without_body(outcome),
         };
         let outcome = match send(owner, spec, &mut connection).await {
             Ok(response) => return receive(owner, spec.server, connection, response).await,
             Err(SendError::AfterFirstByte(outcome)) => outcome,
-            // The server had closed an idle connection; another one serves.
-            Err(_) if origin == Origin::ConnectionPool => continue,
+            // Nothing was written on the pooled connection, usually because the server had closed it while it
+            // was idle. The attempt continues with another connection.
+            Err(_) if source == ConnectionSource::Pool => continue,
             Err(SendError::Closed) => Outcome::ConnectFailed,
             Err(SendError::NothingWritten) => {
                 owner.check_may_begin(spec.id, spec.server).err().unwrap_or(Outcome::ConnectFailed)
@@ -138,12 +140,12 @@
 async fn obtain_connection<O: AttemptOwner>(
     owner: &O,
     spec: &AttemptSpec,
-) -> Result<(Connection, Origin), Outcome> {
+) -> Result<(Connection, ConnectionSource), Outcome> {
     if let Some(connection) = owner.pool().take(spec.server, spec.address, owner.now()) {
-        return Ok((connection, Origin::ConnectionPool));
+        return Ok((connection, ConnectionSource::Pool));
     }
     let connection = owner.pool().connect(spec.address).await?;
-    Ok((connection, Origin::New))
+    Ok((connection, ConnectionSource::New))
 }
 
 /// Sends the request and waits for the head of the response.
@@ -153,9 +155,9 @@
     connection: &mut Connection,
 ) -> Result<Response<Incoming>, SendError> {
     connection.sender.ready().await.map_err(|_| SendError::Closed)?;
-    let (asked, id, server) = (owner.clone(), spec.id, spec.server);
-    connection.exchange.begin(Box::new(move || asked.check_may_begin(id, server).is_ok()));
-    // Computed now, as the connection may have taken long to come up.
+    let (check_owner, id, server) = (owner.clone(), spec.id, spec.server);
+    connection.exchange.begin(Box::new(move || check_owner.check_may_begin(id, server).is_ok()));
+    // Computed after the connection is open, because opening it may have taken much of the time.
     let time_left = spec.timeout_at - owner.now();
     let request = spec.forward.to_upstream(spec.address, time_left);
     let sent = connection.sender.try_send_request(request).await;
@@ -166,7 +168,7 @@
     })
 }
 
-/// Reads the response, and gives the connection back to the pool if it can be used again.
+/// Reads the response and returns the connection to the pool if it can be reused.
 async fn receive(
     owner: &impl AttemptOwner,
     server: ServerId,
--- a/src/net/upstream/closable_socket.rs
+++ b/src/net/upstream/closable_socket.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that either of its two users can close at once.
+//! A TCP stream that each of its two users can close immediately.
 
 use std::cell::RefCell;
 use std::io;
@@ -6,10 +6,12 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// A connection's TCP stream, shared by the attempt that owns the connection and by the task that drives it.
+/// The TCP stream of a connection, shared by the owner of the connection (the pool or an attempt) and by the
+/// task that performs the connection's I/O.
 ///
-/// The attempt closes it directly. The task would drop the stream only when it is next scheduled, and until
-/// then a descriptor would be open that the connection limit no longer counts.
+/// The owner closes the stream directly. The I/O task would drop the stream only when the task is next
+/// scheduled. Until then the file descriptor would stay open although the connection limit no longer counts
+/// it.
 #[derive(Clone)]
 pub(super) struct ClosableSocket(Rc<RefCell<Option<TcpStream>>>);
 
@@ -18,10 +20,10 @@
         ClosableSocket(Rc::new(RefCell::new(Some(stream))))
     }
 
-    /// Runs an operation on the stream.
+    /// Performs an operation on the stream.
     ///
     /// # Errors
-    /// The operation's own, or `NotConnected` once the socket has been closed.
+    /// The error of the operation, or `NotConnected` if the socket has been closed.
     pub(super) fn with<T>(
         &self,
         operation: impl FnOnce(&mut TcpStream) -> Poll<io::Result<T>>,
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -14,26 +14,27 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Read buffer of a connection, bytes. A response head that does not fit is an error.
-const READ_BUFFER: usize = 16 * 1024;
+/// Maximum size of a connection's read buffer, bytes. A response head that does not fit into it is an error.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// An open connection. Dropping it closes its socket at once, whatever is in flight on it.
+/// An open connection. Dropping it closes the socket immediately, even if a request is in flight.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     socket: ClosableSocket,
     pub(super) exchange: Rc<ExchangeState>,
     io_task: AbortHandle,
     address: SocketAddr,
-    /// Last, so that the place is given back after the socket has been closed.
+    /// Declared last, so that the permit is released only after the socket has been closed.
     _permit: ConnectionPermit,
 }
 
 impl Connection {
-    /// Connects to a server. Dropped at an `.await`, it gives its permit back after closing its socket.
+    /// Connects to a server. If this future is dropped at an `.await`, the socket is closed before the permit
+    /// is released.
     ///
     /// # Errors
-    /// How the attempt that wanted the connection has ended: `ConnectFailed`, or `NotSent` where this machine
-    /// could not open a socket, which is no fault of the server.
+    /// The outcome of the attempt that needs the connection: `NotSent` if this machine could not create a
+    /// socket, which is not the server's fault, and `ConnectFailed` otherwise.
     pub(super) async fn open(
         address: SocketAddr,
         timeout: Duration,
@@ -43,10 +44,10 @@
         let socket = ClosableSocket::new(stream);
         let exchange = Rc::new(ExchangeState::default());
         let io = TokioIo::new(InstrumentedStream::new(socket.clone(), exchange.clone()));
-        let handshake = http1::Builder::new().max_buf_size(READ_BUFFER).handshake(io).await;
+        let handshake = http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(io).await;
         let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
         let io_task = tokio::task::spawn_local(async move {
-            // The attempt in flight sees how the connection ends.
+            // The result is not needed here: a request in flight receives the connection's error itself.
             let _ = connection.await;
         });
         let io_task = io_task.abort_handle();
@@ -58,7 +59,8 @@
         self.address
     }
 
-    /// Whether the server has closed the connection, as far as the runtime has noticed.
+    /// Whether the connection is known to be closed. The server may have closed it without the runtime having
+    /// noticed yet.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/src/net/upstream/connection_limit.rs
+++ b/src/net/upstream/connection_limit.rs
@@ -1,37 +1,37 @@
-//! Limit on the number of open upstream connections.
+//! The limit on the number of open upstream connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts open connections against a maximum.
+/// Counts open connections and compares their number with a maximum.
 pub(super) struct ConnectionLimit {
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     max: usize,
 }
 
 impl ConnectionLimit {
     pub(super) fn new(max: usize) -> Self {
-        ConnectionLimit { open: Rc::default(), max }
+        ConnectionLimit { open_connections: Rc::default(), max }
     }
 
     pub(super) fn is_reached(&self) -> bool {
-        self.open.get() >= self.max
+        self.open_connections.get() >= self.max
     }
 
-    /// Counts one more connection, for as long as the permit lives. The caller has made sure that the limit
-    /// is not reached.
+    /// Counts one more connection until the permit is dropped. The caller must have checked that the limit is
+    /// not reached.
     pub(super) fn acquire(&self) -> ConnectionPermit {
-        self.open.set(self.open.get() + 1);
-        ConnectionPermit(self.open.clone())
+        self.open_connections.set(self.open_connections.get() + 1);
+        ConnectionPermit(self.open_connections.clone())
     }
 
     #[cfg(test)]
-    pub(super) fn open(&self) -> usize {
-        self.open.get()
+    pub(super) fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 }
 
-/// The right to one open connection, given back when dropped.
+/// A permit for one open connection. Dropping it releases the permit.
 pub(super) struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl Drop for ConnectionPermit {
--- a/src/net/upstream/instrumented_stream.rs
+++ b/src/net/upstream/instrumented_stream.rs
@@ -1,4 +1,5 @@
-//! The byte stream below an upstream connection: guards and records the first byte of each request.
+//! The byte stream of an upstream connection. It checks before the first byte of each request whether the
+//! byte may be written, and records that it has been written.
 
 use super::closable_socket::ClosableSocket;
 use socket2::SockRef;
@@ -11,49 +12,50 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Asks whether the attempt may still begin.
-type MayBegin = Box<dyn Fn() -> bool>;
+/// A function that returns whether the attempt may still begin.
+type MayBeginCheck = Box<dyn Fn() -> bool>;
 
-/// What an attempt and the stream that it is written to tell each other.
+/// State of the current request on a connection, shared by the attempt and the connection's stream.
 #[derive(Default)]
 pub(super) struct ExchangeState {
     has_written: Cell<bool>,
-    check_may_begin: RefCell<Option<MayBegin>>,
+    may_begin: RefCell<Option<MayBeginCheck>>,
 }
 
 impl ExchangeState {
-    /// A new request follows; `check_may_begin` is asked right before its first byte.
-    pub(super) fn begin(&self, check_may_begin: MayBegin) {
+    /// Prepares for a new request. The stream calls `may_begin` directly before it writes the first byte.
+    pub(super) fn begin(&self, may_begin: MayBeginCheck) {
         self.has_written.set(false);
-        self.check_may_begin.replace(Some(check_may_begin));
+        self.may_begin.replace(Some(may_begin));
     }
 
-    /// The request has been answered or has failed.
+    /// Drops the check when the request has received the head of its response or has failed.
     pub(super) fn end(&self) {
-        self.check_may_begin.replace(None);
+        self.may_begin.replace(None);
     }
 
-    /// Whether any byte of the present request has been written, so that the server may execute it. Small
-    /// requests go out in one piece, so the first byte counts as the whole.
+    /// Whether any byte of the current request has been written. From then on the server may execute the
+    /// request: a small request is written in one piece, so its first byte counts as the whole request.
     pub(super) fn has_written(&self) -> bool {
         self.has_written.get()
     }
 
-    fn is_refused(&self) -> bool {
-        self.check_may_begin.borrow().as_ref().is_some_and(|check_may_begin| !check_may_begin())
+    fn may_not_begin(&self) -> bool {
+        self.may_begin.borrow().as_ref().is_some_and(|may_begin| !may_begin())
     }
 }
 
-/// A TCP stream that writes the first byte of a request only if the attempt may still begin and nothing is
-/// left to be read.
+/// A TCP stream that writes the first byte of a request only if the attempt may still begin and the socket
+/// holds no unread bytes.
 ///
-/// The attempt is asked because other tasks may have run since it was started: its client may have gone, or
-/// its server may have been drained.
+/// The stream checks again whether the attempt may begin, because other tasks may have run since the attempt
+/// was started: the client may have disconnected, or the server may have begun to drain.
 ///
-/// Unread bytes belong to no request (a duplicate response, noise), and would be taken for the response to
-/// this one. Bytes that arrived with the previous response are in the HTTP parser's buffer, which then gives
-/// the connection up. Later ones are in the socket's buffer, where the runtime may not have noticed them yet,
-/// so the socket itself is asked.
+/// Unread bytes belong to no request (for example a duplicate response or garbage) and would be read as the
+/// response to the new request. If such bytes arrived together with the previous response, they are in the
+/// buffer of the HTTP parser, which then closes the connection. If they arrived later, they are in the
+/// socket's receive buffer, and the runtime may not have noticed them yet. The stream therefore checks the
+/// socket itself.
 pub(super) struct InstrumentedStream {
     socket: ClosableSocket,
     exchange: Rc<ExchangeState>,
@@ -68,8 +70,8 @@
         if self.exchange.has_written() {
             return Poll::Ready(Ok(()));
         }
-        if self.exchange.is_refused() {
-            let reason = "the attempt may not begin any more";
+        if self.exchange.may_not_begin() {
+            let reason = "the request is complete, its client has disconnected or its server is not ready";
             return Poll::Ready(Err(io::Error::new(io::ErrorKind::ConnectionAborted, reason)));
         }
         self.socket.with(|stream| Poll::Ready(check_nothing_unread(stream)))
@@ -82,13 +84,13 @@
     }
 }
 
-/// Fails unless the socket is open and its receive buffer empty.
+/// Fails unless the connection is open and the socket's receive buffer is empty.
 fn check_nothing_unread(stream: &TcpStream) -> io::Result<()> {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
         Err(error) => Err(error),
         Ok(_) => {
-            let reason = "closed by the server, or bytes that no request asked for";
+            let reason = "the server closed the connection or sent bytes that belong to no request";
             Err(io::Error::new(io::ErrorKind::InvalidData, reason))
         }
     }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,10 +1,12 @@
-//! Upstream side of the gateway: connections to servers, and the attempts that are made on them.
+//! The upstream side of the gateway: the connections to servers and the attempts that are sent on them.
 //!
-//! Connections are pooled here and not by a pooling HTTP client. Such a client resends requests on its own
-//! and does not report whether any part of a request was written, which decides whether it may be retried.
+//! This module pools connections itself instead of using a pooling HTTP client. Such a client resends
+//! requests on its own and does not report whether any part of a request was written. The gateway needs to
+//! know that to decide whether it may retry the request.
 //!
-//! An [`attempt`](attempt()) takes a connection from the [`ConnectionPool`] or opens one, sends the request
-//! through a stream that guards its first byte, reads the response completely and reports one result to its
+//! An [`attempt`](attempt()) takes a connection from the [`ConnectionPool`] or opens one and sends the
+//! request on it. The connection's stream checks whether the attempt may still begin before it writes the
+//! first byte. The attempt then reads the complete response and reports exactly one result to its
 //! [`AttemptOwner`].
 
 mod attempt;
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -9,94 +9,99 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Share of the servers' idle timeout after which an idle connection is closed here. Well below 1, as a
-/// request that crosses with the server's close is lost.
+/// Share of the servers' idle timeout after which the gateway closes an idle connection. The share is well
+/// below 1 because a request that is sent while the server closes the connection is lost.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
 
-/// A connection is not reused for this long after a response, ms. A server may send the same response a
-/// second time 1 to 3 ms later; a request that is on the connection by then would be given the duplicate.
+/// Time for which a connection is not reused after a response, ms. A server may send the same response again
+/// 1 to 3 ms later, and a request sent on the connection before that would receive the duplicate as its
+/// response.
 const REUSE_DELAY: Millis = 20.0;
 
 /// Limits of a [`ConnectionPool`].
 pub struct PoolSettings {
-    /// Idle time after which the servers close a connection, ms.
+    /// Time after which the servers close an idle connection, ms.
     pub server_idle_timeout: Millis,
-    /// Time in which a connection must come up, ms.
+    /// Maximum time for opening a connection, ms.
     pub connect_timeout: Millis,
-    /// Maximum number of open connections, idle and in use.
+    /// Maximum number of open connections, both idle and in use.
     pub max_connections: usize,
 }
 
-/// The idle connections to all servers, and the limit on how many may be open.
+/// The idle connections to all servers, and the limit on the number of open connections.
 pub struct ConnectionPool {
-    /// For each server, in the order in which its connections became idle.
+    /// The idle connections of each server, in the order in which they became idle.
     idle: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
     limit: ConnectionLimit,
-    max_idle: Millis,
+    max_idle_time: Millis,
     connect_timeout: Duration,
 }
 
 struct IdleConnection {
     connection: Connection,
-    since: Millis,
+    idle_since: Millis,
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         ConnectionPool {
             idle: RefCell::default(),
             limit: ConnectionLimit::new(settings.max_connections),
-            max_idle: settings.server_idle_timeout * IDLE_TIMEOUT_SHARE,
+            max_idle_time: settings.server_idle_timeout * IDLE_TIMEOUT_SHARE,
             connect_timeout: Duration::from_secs_f64(settings.connect_timeout / 1000.0),
         }
     }
 
-    /// Takes the most recently used connection to a server that is still usable and past [`REUSE_DELAY`].
+    /// Takes the most recently used connection to a server that is still usable and has been idle for at
+    /// least [`REUSE_DELAY`].
     pub(super) fn take(&self, server: ServerId, address: SocketAddr, now: Millis) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&server)?;
-        connections.retain(|idle| idle.connection.address() == address && self.is_usable(idle, now));
-        let reusable = connections.iter().rposition(|idle| now - idle.since >= REUSE_DELAY)?;
-        Some(connections.remove(reusable).connection)
+        connections.retain(|entry| entry.connection.address() == address && self.is_usable(entry, now));
+        let reusable_index = connections.iter().rposition(|entry| now - entry.idle_since >= REUSE_DELAY)?;
+        Some(connections.remove(reusable_index).connection)
     }
 
-    /// Gives back a connection that no request is on.
+    /// Returns a connection to the pool if the connection is not closed. No request may be in flight on it.
     pub(super) fn put(&self, server: ServerId, connection: Connection, now: Millis) {
         if !connection.is_closed() {
             let mut idle = self.idle.borrow_mut();
-            idle.entry(server).or_default().push(IdleConnection { connection, since: now });
+            idle.entry(server).or_default().push(IdleConnection { connection, idle_since: now });
         }
     }
 
-    /// Opens a connection. Dropped at an `.await`, it gives its place back after closing its socket.
+    /// Opens a connection. If this future is dropped at an `.await`, the socket is closed before the permit
+    /// is released.
     ///
     /// # Errors
-    /// How the attempt that wanted the connection has ended: `NotSent` if the limit is reached and no idle
-    /// connection can be closed instead, which is no fault of the server; else as by [`Connection::open`].
+    /// The outcome of the attempt that needs the connection: `NotSent` if the limit is reached and there is
+    /// no idle connection to close, which is not the server's fault; otherwise the error of
+    /// [`Connection::open`].
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<Connection, Outcome> {
         let permit = self.acquire_permit().ok_or(Outcome::NotSent)?;
         Connection::open(address, self.connect_timeout, permit).await
     }
 
-    /// Closes connections that have been idle too long and drops those that the server has closed.
+    /// Removes the connections that have been idle too long or that the server has closed.
     pub fn drop_expired(&self, now: Millis) {
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| self.is_usable(idle, now));
+            connections.retain(|entry| self.is_usable(entry, now));
             !connections.is_empty()
         });
     }
 
-    /// Closes the idle connections of all servers for which `is_wanted` does not hold.
-    pub fn retain_servers(&self, is_wanted: impl Fn(ServerId) -> bool) {
-        self.idle.borrow_mut().retain(|server, _| is_wanted(*server));
+    /// Closes the idle connections of all servers for which `keep` returns false.
+    pub fn retain_servers(&self, keep: impl Fn(ServerId) -> bool) {
+        self.idle.borrow_mut().retain(|server, _| keep(*server));
     }
 
-    fn is_usable(&self, idle: &IdleConnection, now: Millis) -> bool {
-        !idle.connection.is_closed() && now - idle.since < self.max_idle
+    fn is_usable(&self, entry: &IdleConnection, now: Millis) -> bool {
+        !entry.connection.is_closed() && now - entry.idle_since < self.max_idle_time
     }
 
-    /// A permit for one more connection; at the limit the one that has been idle longest is closed for it.
+    /// Acquires a permit for one more connection. If the limit is reached, closes the connection that has
+    /// been idle longest; returns `None` if no connection is idle.
     fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if self.limit.is_reached() {
             self.close_longest_idle()?;
@@ -107,8 +112,8 @@
     fn close_longest_idle(&self) -> Option<()> {
         let mut idle = self.idle.borrow_mut();
         let servers = idle.values_mut().filter(|connections| !connections.is_empty());
-        let longest = servers.min_by(|a, b| a[0].since.total_cmp(&b[0].since))?;
-        longest.remove(0);
+        let connections = servers.min_by(|a, b| a[0].idle_since.total_cmp(&b[0].idle_since))?;
+        connections.remove(0);
         Some(())
     }
 }
--- a/src/net/upstream/request.rs
+++ b/src/net/upstream/request.rs
@@ -1,4 +1,4 @@
-//! The request that is sent to a server.
+//! The request that an attempt sends to a server.
 
 use crate::ids::Millis;
 use bytes::Bytes;
@@ -7,23 +7,25 @@
 use hyper::{Method, Request, Uri};
 use std::net::SocketAddr;
 
-/// Tells the server how long its attempt is still waited for, in seconds: no longer than the client waits.
+/// Header with the remaining time, in seconds, for which the gateway waits for the attempt's response. It is
+/// never longer than the client waits.
 const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
-/// What each attempt of a client's request forwards unchanged.
+/// The parts of a client's request that every attempt forwards unchanged.
 pub struct ForwardedRequest {
     /// Method of the request.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request.
     pub uri: Uri,
-    /// The headers to forward.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// The request as one attempt sends it, with the server's address as its host and with the time left, ms.
+    /// Builds the request that one attempt sends, with the server's address as its `Host` header and the time
+    /// that the attempt has left. `time_left` is in ms.
     pub(super) fn to_upstream(&self, address: SocketAddr, time_left: Millis) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -10,40 +10,41 @@
 use std::error::Error;
 
 /// Maximum length of a response body, bytes.
-const MAX_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// `1`: the server has not executed the request.
+/// Header by which the server reports, with the value `1`, that it has not executed the request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 
 /// A response that has been read completely and found valid.
 pub(super) struct ReceivedResponse {
     pub(super) outcome: Outcome,
     pub(super) body: Bytes,
-    /// The server keeps the connection open.
+    /// Whether the server keeps the connection open.
     pub(super) keep_alive: bool,
 }
 
-/// Reads a response completely; only then is it known to be one, and its connection free.
+/// Reads a response completely. Only then is the response known to be valid and its connection free for
+/// another request.
 ///
 /// # Errors
-/// How the attempt has ended if the response is invalid or breaks off. The caller then closes the connection,
-/// however much of the response is still to come.
+/// The outcome of the attempt if the response is invalid or incomplete. The caller must then close the
+/// connection, because the rest of the response may still arrive on it.
 pub(super) async fn receive(response: Response<Incoming>) -> Result<ReceivedResponse, Outcome> {
     let (head, body) = response.into_parts();
     if !has_valid_framing(&head, &body) {
         return Err(Outcome::Error);
     }
-    let body = match Limited::new(body, MAX_BODY).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => return Err(failure_outcome(&*error)),
     };
     Ok(ReceivedResponse { outcome: response_outcome(&head), body, keep_alive: !closes_connection(&head) })
 }
 
-/// The outcome of an attempt whose request may have been executed and that has no valid response.
+/// The outcome of an attempt whose request may have been executed but that received no valid response.
 ///
-/// A response that cannot be used is an error, not a reset: the server can be reached, any server may spoil a
-/// response now and then, and resets would count against it as if it were gone.
+/// An invalid response is `Error` and not `Reset`. Its server is reachable, and any server may occasionally
+/// send an invalid response, whereas a reset counts against the server as if it were unreachable.
 pub(super) fn failure_outcome(error: &(dyn Error + 'static)) -> Outcome {
     match error.downcast_ref::<hyper::Error>() {
         Some(error) if !error.is_parse() && !error.is_parse_too_large() => Outcome::Reset,
@@ -51,16 +52,17 @@
     }
 }
 
-/// Whether the head states exactly once, and in one way, where the body ends, within [`MAX_BODY`].
+/// Whether the response is final, its head defines the end of the body by exactly one `Content-Length` or
+/// `Transfer-Encoding` header, and the announced length is at most [`MAX_BODY_BYTES`].
 fn has_valid_framing(head: &Parts, body: &Incoming) -> bool {
-    let lengths = count(&head.headers, CONTENT_LENGTH);
-    let encodings = count(&head.headers, TRANSFER_ENCODING);
-    let is_unambiguous = matches!((lengths, encodings), (1, 0) | (0, 1));
-    let is_short_enough = body.size_hint().lower() <= MAX_BODY as u64;
+    let length_count = count_headers(&head.headers, CONTENT_LENGTH);
+    let encoding_count = count_headers(&head.headers, TRANSFER_ENCODING);
+    let is_unambiguous = matches!((length_count, encoding_count), (1, 0) | (0, 1));
+    let is_short_enough = body.size_hint().lower() <= MAX_BODY_BYTES as u64;
     is_unambiguous && !head.status.is_informational() && is_short_enough
 }
 
-fn count(headers: &HeaderMap, name: HeaderName) -> usize {
+fn count_headers(headers: &HeaderMap, name: HeaderName) -> usize {
     headers.get_all(name).iter().count()
 }
 
--- a/tests/unit/instrumented_stream.rs
+++ b/tests/unit/instrumented_stream.rs
@@ -1,4 +1,4 @@
-//! The guard in front of the first byte of a request.
+//! Tests of the checks before the first byte of a request is written.
 
 use super::*;
 use std::io::Write as _;
@@ -15,26 +15,26 @@
     (listener, address)
 }
 
-/// Connects, with the stream known to be writable.
+/// Connects to `address` and waits until the runtime knows that the stream is writable.
 async fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).await.expect("a connection");
-    stream.writable().await.expect("a connection that is up");
+    stream.writable().await.expect("a writable connection");
     stream
 }
 
-/// Writes the first bytes of a request without giving the runtime a chance to run.
+/// Writes the first bytes of a request without letting the runtime poll the socket.
 fn write_first_bytes(stream: &mut InstrumentedStream) -> Poll<io::Result<usize>> {
     Pin::new(stream).poll_write(&mut Context::from_waker(Waker::noop()), b"GET")
 }
 
-/// A server sends a duplicate response on an idle connection, or closes it. Before the runtime has polled the
-/// socket, a request is sent on that connection. It would be given the duplicate as its own response, or be
-/// lost with an unknown outcome; so its first byte must not be written.
+/// A server sends a duplicate response on an idle connection or closes the connection, and a request is sent
+/// on it before the runtime has polled the socket. The request would receive the duplicate as its response,
+/// or would be lost with an unknown outcome, so its first byte must not be written.
 #[test]
-fn nothing_is_written_while_the_socket_holds_bytes_or_a_close_unnoticed_by_the_runtime() {
+fn nothing_is_written_if_the_server_sent_bytes_or_closed_the_connection_before_the_runtime_noticed() {
     let runtime = runtime();
     let (listener, address) = listen();
-    let server_acts: [fn(std::net::TcpStream) -> Option<std::net::TcpStream>; 3] = [
+    let server_actions: [fn(std::net::TcpStream) -> Option<std::net::TcpStream>; 3] = [
         Some,
         |mut server| server.write_all(b"HTTP/1.1 200 OK\r\n").map(|()| server).ok(),
         |server| {
@@ -42,35 +42,36 @@
             None
         },
     ];
-    for (is_clean, act) in [true, false, false].into_iter().zip(server_acts) {
+    for (may_write, server_action) in [true, false, false].into_iter().zip(server_actions) {
         runtime.block_on(async {
             let stream = TcpStream::connect(address).await.expect("a connection");
             let (server, _) = listener.accept().expect("a connection");
-            stream.writable().await.expect("a connection that is up");
-            let _open = act(server);
-            // No await from here on: the runtime notices nothing.
+            stream.writable().await.expect("a writable connection");
+            let _server = server_action(server);
+            // There is no await from here on, so the runtime does not poll the socket.
             let mut stream = InstrumentedStream::new(ClosableSocket::new(stream), Rc::default());
             let written = write_first_bytes(&mut stream);
-            assert_eq!(matches!(written, Poll::Ready(Ok(3))), is_clean, "{written:?}");
-            assert_eq!(stream.exchange.has_written(), is_clean);
+            assert_eq!(matches!(written, Poll::Ready(Ok(3))), may_write, "result of the write: {written:?}");
+            assert_eq!(stream.exchange.has_written(), may_write, "has_written() is wrong");
         });
     }
 }
 
-/// A request waits for its turn to be written, and meanwhile its client leaves or its server is drained. The
-/// question whether it may begin is asked right before the first byte, however long that waits.
+/// The client disconnects or the server begins to drain after the attempt was started but before its request
+/// is written. The stream therefore checks directly before the first byte whether the attempt may still
+/// begin.
 #[test]
-fn nothing_is_written_for_an_attempt_that_may_not_begin_any_more() {
+fn nothing_is_written_for_an_attempt_that_may_no_longer_begin() {
     let runtime = runtime();
     let (_listener, address) = listen();
-    for check_may_begin in [true, false] {
+    for may_begin in [true, false] {
         runtime.block_on(async {
             let stream = connect(address).await;
             let mut stream = InstrumentedStream::new(ClosableSocket::new(stream), Rc::default());
-            stream.exchange.begin(Box::new(move || check_may_begin));
+            stream.exchange.begin(Box::new(move || may_begin));
             let written = write_first_bytes(&mut stream);
-            assert_eq!(matches!(written, Poll::Ready(Ok(3))), check_may_begin, "{written:?}");
-            assert_eq!(stream.exchange.has_written(), check_may_begin);
+            assert_eq!(matches!(written, Poll::Ready(Ok(3))), may_begin, "result of the write: {written:?}");
+            assert_eq!(stream.exchange.has_written(), may_begin, "has_written() is wrong");
         });
     }
 }
