--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -1,32 +1,32 @@
-//! A client of the gateway.
+//! An HTTP client of the gateway.
 
 use super::{read_message, Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Numbers the correlation ids of all clients.
-static NEXT_ID: AtomicUsize = AtomicUsize::new(1);
+/// The correlation id of the next request of any client.
+static NEXT_CORRELATION_ID: AtomicUsize = AtomicUsize::new(1);
 
-/// A client's connection.
+/// A client with one connection to the gateway.
 pub struct Client {
-    /// Where requests are written.
+    /// The stream that requests are written to.
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects to the gateway at `address`.
     pub fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
-        let reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let stream = TcpStream::connect(address).expect("the client could not connect");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout could not be set");
+        let reader = BufReader::new(stream.try_clone().expect("the socket could not be cloned"));
         Client { stream, reader }
     }
 
-    /// Writes a request without reading its response.
+    /// Writes a request without reading its response. `headers` consists of whole header lines.
     pub fn send(&mut self, method: &str, class: &str, headers: &str, body: &[u8]) {
-        let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
+        let id = NEXT_CORRELATION_ID.fetch_add(1, Ordering::SeqCst);
         let head = format!(
             "{method} /{class}?customer=00000000b4d65521 HTTP/1.1\r\n\
              Host: api.internal\r\n\
@@ -37,35 +37,37 @@
              {headers}Content-Length: {}\r\n\r\n",
             body.len()
         );
-        self.stream.write_all(&[head.as_bytes(), body].concat()).expect("a request is written");
+        self.stream.write_all(&[head.as_bytes(), body].concat()).expect("the request could not be written");
     }
 
-    /// Writes bytes, and reads a response; none if the connection is closed.
+    /// Writes `bytes` and reads a response. Returns `None` if the connection is closed.
     pub fn exchange_bytes(&mut self, bytes: &[u8]) -> Option<Message> {
         let _ = self.stream.write_all(bytes);
         self.read()
     }
 
-    /// Reads a response; none if the connection is closed.
+    /// Reads a response. Returns `None` if the connection is closed.
     pub fn read(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
-    /// The response to a GET without the gateway's own headers; `headers` are whole lines.
+    /// Sends a GET request that has none of the headers the gateway defines, except those in `headers`, and
+    /// returns the response. `headers` consists of whole header lines.
     pub fn get(&mut self, path: &str, headers: &str) -> Message {
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\n{headers}\r\n");
-        self.exchange_bytes(request.as_bytes()).expect("a response")
+        self.exchange_bytes(request.as_bytes()).expect("the gateway closed the connection without a response")
     }
 
-    /// The response to a request of the idempotent class.
+    /// Sends a request of an idempotent class and returns the response.
     pub fn get_idempotent(&mut self) -> Message {
         self.send("GET", "look", "X-Time-Left: 2.0\r\n", b"");
-        self.read().expect("a response")
+        self.read().expect("the gateway closed the connection without a response")
     }
 
-    /// The response to a request of the class that is not idempotent, with so many seconds left.
-    pub fn post_non_idempotent(&mut self, left: &str) -> Message {
-        self.send("POST", "once", &format!("X-Time-Left: {left}\r\n"), b"{}");
-        self.read().expect("a response")
+    /// Sends a request of a class that is not idempotent and returns the response. `time_left` is the value
+    /// of the `X-Time-Left` header, s.
+    pub fn post_non_idempotent(&mut self, time_left: &str) -> Message {
+        self.send("POST", "once", &format!("X-Time-Left: {time_left}\r\n"), b"{}");
+        self.read().expect("the gateway closed the connection without a response")
     }
 }
--- a/tests/support/counter.rs
+++ b/tests/support/counter.rs
@@ -6,36 +6,37 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A counter that adds up, and lets `twist` write the replies: the call's number and total in, bytes out.
+/// A stub counter service that adds up the amounts of the calls. `make_reply` receives the number of the
+/// call, from 0, and the new total, and returns the bytes of the reply.
 pub struct Counter {
-    /// Where it listens.
+    /// The address that the counter listens on.
     pub address: SocketAddr,
-    /// Sum of all amounts that calls have added.
+    /// Sum of the amounts of all calls.
     pub added: Arc<Mutex<f64>>,
-    /// Calls for which `twist` was called.
+    /// Number of calls for which `make_reply` was called.
     pub calls: Arc<AtomicUsize>,
-    /// Calls that were read, whether or not `twist` has returned for them.
+    /// Number of calls that were read, whether or not `make_reply` has returned for them.
     pub calls_received: Arc<AtomicUsize>,
-    /// Connections that were accepted.
+    /// Number of connections that were accepted.
     pub connections: Arc<AtomicUsize>,
 }
 
 impl Counter {
-    /// Starts a counter.
-    pub fn start(twist: impl Fn(usize, f64) -> Vec<u8> + Send + Sync + 'static) -> Counter {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    /// Starts a counter whose replies are made by `make_reply`.
+    pub fn start(make_reply: impl Fn(usize, f64) -> Vec<u8> + Send + Sync + 'static) -> Counter {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no port could be bound");
         let handler = Handler {
-            twist: Arc::new(twist),
+            make_reply: Arc::new(make_reply),
             totals: Arc::default(),
             added: Arc::default(),
             calls: Arc::default(),
-            requests_seen: Arc::default(),
+            calls_received: Arc::default(),
         };
         let counter = Counter {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("the listener has no address"),
             added: handler.added.clone(),
             calls: handler.calls.clone(),
-            calls_received: handler.requests_seen.clone(),
+            calls_received: handler.calls_received.clone(),
             connections: Arc::default(),
         };
         let connections = counter.connections.clone();
@@ -49,25 +50,25 @@
         counter
     }
 
-    /// A counter that replies with the totals.
+    /// Starts a counter that replies to each call with the new total.
     pub fn ok() -> Counter {
         Counter::start(|_, total| format!("ok {total}\r\n").into_bytes())
     }
 }
 
-/// Serves connections of a counter.
+/// Serves the connections to a counter.
 #[derive(Clone)]
 struct Handler {
-    twist: Arc<dyn Fn(usize, f64) -> Vec<u8> + Send + Sync>,
+    make_reply: Arc<dyn Fn(usize, f64) -> Vec<u8> + Send + Sync>,
     totals: Arc<Mutex<HashMap<String, f64>>>,
     added: Arc<Mutex<f64>>,
     calls: Arc<AtomicUsize>,
-    requests_seen: Arc<AtomicUsize>,
+    calls_received: Arc<AtomicUsize>,
 }
 
 impl Handler {
     fn serve(&self, mut stream: TcpStream) {
-        let reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let reader = BufReader::new(stream.try_clone().expect("the socket could not be cloned"));
         for line in reader.lines().map_while(Result::ok) {
             if stream.write_all(&self.reply(&line)).is_err() {
                 return;
@@ -78,15 +79,15 @@
     fn reply(&self, line: &str) -> Vec<u8> {
         let words: Vec<&str> = line.split(' ').collect();
         let ["bump", name, add, _] = words[..] else { return b"pong\r\n".to_vec() };
-        self.requests_seen.fetch_add(1, Ordering::SeqCst);
-        let total = self.add(name, add.parse().expect("an amount"));
-        (self.twist)(self.calls.fetch_add(1, Ordering::SeqCst), total)
+        self.calls_received.fetch_add(1, Ordering::SeqCst);
+        let total = self.add(name, add.parse().expect("the amount of a call is not a number"));
+        (self.make_reply)(self.calls.fetch_add(1, Ordering::SeqCst), total)
     }
 
-    /// Adds to a counter, and returns its new total.
+    /// Adds `amount` to the counter `name` and returns its new total.
     fn add(&self, name: &str, amount: f64) -> f64 {
-        *self.added.lock().expect("a lock") += amount;
-        let mut totals = self.totals.lock().expect("a lock");
+        *self.added.lock().expect("lock poisoned") += amount;
+        let mut totals = self.totals.lock().expect("lock poisoned");
         let total = totals.entry(name.to_owned()).or_default();
         *total += amount;
         *total
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -1,4 +1,4 @@
-//! A stub of a discovery agent, and the endpoint lists that it writes.
+//! A stub of a discovery agent, and the endpoint lists that it sends.
 
 use super::{read_message, response_bytes};
 use socket2::SockRef;
@@ -8,35 +8,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Period of the empty lines that keep a watch alive.
-const HEARTBEAT: Duration = Duration::from_millis(500);
-/// A chunk of HTTP that holds an empty line.
+/// Interval between the empty lines that keep a watch alive.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// An HTTP chunk that contains an empty line.
 const HEARTBEAT_CHUNK: &[u8] = b"2\r\n\r\n\r\n";
 const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A discovery agent. What is written to it goes to all open watches raw.
+/// A stub of a discovery agent. It sends text to all watches without checking the format.
 pub struct Discovery {
-    /// Where it listens.
+    /// The address that the agent listens on.
     pub address: SocketAddr,
-    /// The complete list.
+    /// The complete list, which a request that opens no watch receives.
     pub list: Arc<Mutex<String>>,
-    /// Request lines of the calls that have come.
+    /// Request lines of all calls that were received.
     pub request_lines: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
-    /// Watches send no empty lines, as if they were dead.
+    /// Whether the agent sends no empty lines on its watches, as if they were dead.
     pub silent_watches: Arc<AtomicBool>,
-    /// Calls are accepted and never answered, as by an agent while discovery is down.
+    /// Whether the agent accepts calls but never answers them, as it does while discovery is down.
     pub unresponsive: Arc<AtomicBool>,
-    /// What is written goes out in pieces of so many bytes.
+    /// Maximum number of bytes of a list or an event that the agent writes at once.
     pub write_size: Arc<AtomicUsize>,
 }
 
 impl Discovery {
-    /// Starts an agent that holds a complete list.
+    /// Starts an agent whose complete list is `list`.
     pub fn start(list: String) -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no port could be bound");
         let discovery = Discovery {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("the listener has no address"),
             list: Arc::new(Mutex::new(list)),
             request_lines: Arc::default(),
             watches: Arc::default(),
@@ -46,7 +46,7 @@
         };
         let mut handler = Handler {
             list: discovery.list.clone(),
-            requests_seen: discovery.request_lines.clone(),
+            request_lines: discovery.request_lines.clone(),
             watches: discovery.watches.clone(),
             unresponsive: discovery.unresponsive.clone(),
             write_size: discovery.write_size.clone(),
@@ -58,9 +58,9 @@
         discovery
     }
 
-    /// Writes to all watches, as a chunk of its own or several.
+    /// Writes `text` to all watches, in chunks of at most [`write_size`](Self::write_size) bytes.
     pub fn write(&self, text: &str) {
-        for stream in self.watches.lock().expect("a lock").iter_mut() {
+        for stream in self.watches.lock().expect("lock poisoned").iter_mut() {
             for piece in text.as_bytes().chunks(self.write_size.load(Ordering::SeqCst)) {
                 let head = format!("{:x}\r\n", piece.len());
                 let _ = stream.write_all(&[head.as_bytes(), piece, b"\r\n"].concat());
@@ -68,59 +68,61 @@
         }
     }
 
-    /// Resets all open watches, in the middle of whatever was sent.
+    /// Resets the connections of all watches, even in the middle of an event.
     pub fn reset(&self) {
-        for stream in self.watches.lock().expect("a lock").drain(..) {
-            SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("linger");
+        for stream in self.watches.lock().expect("lock poisoned").drain(..) {
+            SockRef::from(&stream)
+                .set_linger(Some(Duration::ZERO))
+                .expect("the linger option could not be set");
         }
     }
 
-    /// Calls that have come.
+    /// Number of calls that were received.
     pub fn call_count(&self) -> usize {
-        self.request_lines.lock().expect("a lock").len()
+        self.request_lines.lock().expect("lock poisoned").len()
     }
 
-    /// Watches that are open.
+    /// Number of watches that were opened and not reset, including those that the gateway has closed.
     pub fn watch_count(&self) -> usize {
-        self.watches.lock().expect("a lock").len()
+        self.watches.lock().expect("lock poisoned").len()
     }
 }
 
 fn send_heartbeats(watches: &Mutex<Vec<TcpStream>>, silent_watches: &AtomicBool) {
     loop {
-        std::thread::sleep(HEARTBEAT);
+        std::thread::sleep(HEARTBEAT_INTERVAL);
         if !silent_watches.load(Ordering::SeqCst) {
-            for stream in watches.lock().expect("a lock").iter_mut() {
+            for stream in watches.lock().expect("lock poisoned").iter_mut() {
                 let _ = stream.write_all(HEARTBEAT_CHUNK);
             }
         }
     }
 }
 
-/// Answers the calls, one after the other.
+/// Answers calls one after the other.
 struct Handler {
     list: Arc<Mutex<String>>,
-    requests_seen: Arc<Mutex<Vec<String>>>,
+    request_lines: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
     unresponsive: Arc<AtomicBool>,
     write_size: Arc<AtomicUsize>,
-    /// Connections that came while the agent was deaf; they stay open.
+    /// Connections of the calls that were received while the agent was unresponsive. They stay open.
     unanswered: Vec<TcpStream>,
 }
 
 impl Handler {
     fn serve(&mut self, mut stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-        stream.set_nodelay(true).expect("no delay");
+        let mut reader = BufReader::new(stream.try_clone().expect("the socket could not be cloned"));
+        stream.set_nodelay(true).expect("TCP_NODELAY could not be set");
         let Some(message) = read_message(&mut reader) else { return };
-        self.requests_seen.lock().expect("a lock").push(message.start_line.clone());
+        self.request_lines.lock().expect("lock poisoned").push(message.start_line.clone());
         if self.unresponsive.load(Ordering::SeqCst) {
             self.unanswered.push(stream);
         } else if message.start_line.contains("follow=1") {
             let _ = stream.write_all(&[WATCH_HEAD, HEARTBEAT_CHUNK].concat());
-            self.watches.lock().expect("a lock").push(stream);
+            self.watches.lock().expect("lock poisoned").push(stream);
         } else {
-            let list = self.list.lock().expect("a lock").clone();
+            let list = self.list.lock().expect("lock poisoned").clone();
             for piece in
                 response_bytes("200 OK", "", list.as_bytes()).chunks(self.write_size.load(Ordering::SeqCst))
             {
@@ -130,14 +132,14 @@
     }
 }
 
-/// One entry of a list.
+/// Returns the JSON of one entry of an endpoint list.
 pub fn endpoint_entry(id: &str, address: SocketAddr, phase: &str) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
     )
 }
 
-/// A list of entries, complete or a change.
+/// Returns the JSON of a list of endpoint entries: the complete list, or the entries that have changed.
 pub fn endpoint_list(revision: u64, complete: bool, members: &[String]) -> String {
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
 }
--- a/tests/support/frames.rs
+++ b/tests/support/frames.rs
@@ -1,7 +1,6 @@
-//! Frames of the simulator's wire: builds event frames and reads reply frames, byte by byte as the protocol's
-//! page lays them out.
+//! Builds event frames of the simulator protocol, byte by byte as the protocol's documentation lays them out.
 
-/// Codes of event records.
+/// Codes of the event records.
 pub mod event_code {
     pub const INSTANCE_STARTED: u16 = 1040;
     pub const ENDPOINTS_CHANGED: u16 = 1080;
@@ -13,10 +12,11 @@
     pub const COUNTER_REPLIED: u16 = 1060;
 }
 
-/// Bytes of an event record.
+/// Size of an event record, bytes.
 pub const EVENT_BYTES: usize = 48;
 
-/// One event record: a code, the instance, and fields at their byte positions.
+/// Builds an event record. `fields` gives the byte position and the bytes of each field after the code and
+/// the instance.
 pub fn record(code: u16, instance: u32, fields: &[(usize, &[u8])]) -> Vec<u8> {
     let mut record = vec![0u8; EVENT_BYTES];
     record[..2].copy_from_slice(&code.to_le_bytes());
@@ -27,7 +27,8 @@
     record
 }
 
-/// A whole frame of event records at a time.
+/// Builds a frame: its header with the time `now`, the event records, and the tail, which contains the data
+/// that records refer to.
 pub fn frame(now: f64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
     let mut frame = ((16 + body.len() + tail.len()) as u32).to_le_bytes().to_vec();
--- a/tests/support/gate.rs
+++ b/tests/support/gate.rs
@@ -1,4 +1,4 @@
-//! A gate that threads wait at.
+//! A gate that blocks threads until a test opens it.
 
 use super::WAIT_TIMEOUT;
 use std::sync::{Arc, Condvar, Mutex};
@@ -9,21 +9,24 @@
     opened: Condvar,
 }
 
-/// Holds back whoever waits at it until it is opened.
+/// Blocks the threads that wait at the gate until it is opened.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<State>);
 
 impl Gate {
-    /// Lets all go on that wait or will wait.
+    /// Opens the gate for the threads that wait now and for all later ones.
     pub fn open(&self) {
-        *self.0.open.lock().expect("a lock") = true;
+        *self.0.open.lock().expect("lock poisoned") = true;
         self.0.opened.notify_all();
     }
 
-    /// Waits until the gate is open.
+    /// Blocks until the gate is open.
     pub fn wait(&self) {
-        let open = self.0.open.lock().expect("a lock");
+        let open = self.0.open.lock().expect("lock poisoned");
         let waited = self.0.opened.wait_timeout_while(open, WAIT_TIMEOUT, |open| !*open);
-        assert!(!waited.expect("a lock").1.timed_out(), "a gate was never opened");
+        assert!(
+            !waited.expect("lock poisoned").1.timed_out(),
+            "a thread waited too long: the test did not open the gate"
+        );
     }
 }
--- a/tests/support/message.rs
+++ b/tests/support/message.rs
@@ -1,31 +1,36 @@
-//! HTTP messages as they come over a socket.
+//! Reads and writes HTTP messages.
 
 use std::io::BufRead;
 
 /// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The request or status line.
+    /// The request line or the status line.
     pub start_line: String,
-    /// Names and values, in the order in which they came.
+    /// The header names and values, in the order in which they were received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body, whose length the `Content-Length` header gives.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The value of a header, by its name in any case.
+    /// Returns the value of the first header named `name`, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 
-    /// The status of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
-        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.start_line
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .expect("the status line has no valid status code")
     }
 }
 
-/// Reads one message with a stated length; none at the end of the connection.
+/// Reads one message. Its body is as long as `Content-Length` says, or empty without that header. Returns
+/// `None` if the connection ends or fails before the message is complete.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
     let mut line = String::new();
@@ -43,13 +48,15 @@
             message.headers.push((name.to_owned(), value.trim().to_owned()));
         }
     }
-    let length = message.header("content-length").map_or(0, |value| value.parse().expect("a length"));
+    let length = message
+        .header("content-length")
+        .map_or(0, |value| value.parse().expect("the Content-Length header is not a number"));
     message.body = vec![0; length];
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// The bytes of a response; `headers` are whole lines.
+/// Returns the bytes of a response. `headers` consists of whole header lines.
 pub fn response_bytes(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,8 +1,9 @@
-//! Stub servers, discovery and counter on loopback sockets, clients, and the real gateway started against
-//! them.
+//! Stubs of servers, discovery and the counter on loopback sockets, clients, and the real gateway, which is
+//! started with these stubs as its peers.
 //!
-//! The stubs panic where a test can't go on. Those of the capacity program return errors and do less, so that
-//! they cost little beside the gateway; the two have nothing but the wire in common.
+//! These stubs panic when a test cannot continue. The capacity program has stubs of its own, which return
+//! errors and do less, so that their cost is small compared with the gateway's. The two sets of stubs share
+//! no code, only the wire format.
 
 mod client;
 mod counter;
@@ -15,7 +16,7 @@
 mod unreachable;
 mod wait;
 
-// Each file of tests uses its own part.
+// Each test file uses only some of these items.
 #[allow(unused_imports)]
 pub use self::{
     client::Client,
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! A stub of a server.
+//! A stub of a server behind the gateway.
 
 use super::{endpoint_entry, eventually, read_message, response_bytes, Message};
 use std::io::{BufReader, Write};
@@ -8,52 +8,53 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a server does with a request.
+/// How a stub server responds to a request.
 pub enum StubResponse {
-    /// Writes these bytes.
+    /// Writes the bytes.
     Write(Vec<u8>),
-    /// Waits, then writes.
+    /// Writes the bytes after a delay.
     Delayed(Duration, Vec<u8>),
-    /// Writes these bytes and closes.
+    /// Writes the bytes and closes the connection.
     Close(Vec<u8>),
-    /// Writes bytes, waits, and writes others that nobody asked for.
+    /// Writes the first bytes, and after a delay the second bytes, which no request has asked for.
     WriteTwice(Vec<u8>, Duration, Vec<u8>),
-    /// Writes nothing until the gateway closes.
+    /// Writes nothing and leaves the connection open.
     NoResponse,
 }
 
-/// A server whose `act` decides on each request.
+/// A stub server. A function given at its start decides how it responds to each request.
 pub struct Server {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// The requests that have come.
+    /// The requests that were received.
     pub requests: Arc<Mutex<Vec<Message>>>,
-    /// How many connections were accepted.
+    /// Number of connections that were accepted.
     pub connections: Arc<AtomicUsize>,
-    /// How long each connection had been quiet when the gateway closed it; zero where the server did.
+    /// For each closed connection, how long it had been idle when the gateway closed it, or zero if the
+    /// server closed it.
     pub idle_before_close: Receiver<Duration>,
-    /// The second write of each [`StubResponse::WriteTwice`] is done.
+    /// Receives an item when the second write of a [`StubResponse::WriteTwice`] is done.
     pub second_writes: Receiver<()>,
 }
 
 impl Server {
-    /// Starts a server.
-    pub fn start(act: impl Fn(&Message) -> StubResponse + Send + Sync + 'static) -> Server {
-        Server::on(TcpListener::bind("127.0.0.1:0").expect("a port"), act)
+    /// Starts a server on a free port. `respond` returns the response to a request.
+    pub fn start(respond: impl Fn(&Message) -> StubResponse + Send + Sync + 'static) -> Server {
+        Server::start_on(TcpListener::bind("127.0.0.1:0").expect("no port could be bound"), respond)
     }
 
-    /// Starts a server on a listener.
-    pub(super) fn on(
+    /// Starts a server on `listener`. `respond` returns the response to a request.
+    pub(super) fn start_on(
         listener: TcpListener,
-        act: impl Fn(&Message) -> StubResponse + Send + Sync + 'static,
+        respond: impl Fn(&Message) -> StubResponse + Send + Sync + 'static,
     ) -> Server {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the listener has no address");
         let requests = Arc::new(Mutex::new(Vec::new()));
         let connections = Arc::new(AtomicUsize::new(0));
         let (idle_sender, idle_before_close) = channel();
         let (write_sender, second_writes) = channel();
         let handler = Handler {
-            act: Arc::new(act),
+            respond: Arc::new(respond),
             requests: requests.clone(),
             idle_before_close: idle_sender,
             second_writes: write_sender,
@@ -69,7 +70,7 @@
         Server { address, requests, connections, idle_before_close, second_writes }
     }
 
-    /// A server that answers each request with its request line.
+    /// Starts a server that answers each request with status 200 and the request line as the body.
     pub fn ok() -> Server {
         Server::start(|message| {
             StubResponse::Write(response_bytes(
@@ -80,21 +81,22 @@
         })
     }
 
-    /// Requests that have come.
+    /// Number of requests that were received.
     pub fn count(&self) -> usize {
-        self.requests.lock().expect("a lock").len()
+        self.requests.lock().expect("lock poisoned").len()
     }
 }
 
-/// A server's entries under many ids, so that no limit on requests in flight at one is met.
+/// Returns endpoint entries with many ids for one server, so that no test reaches the concurrency limit of an
+/// endpoint.
 pub fn endpoints_of(server: &Server) -> Vec<String> {
     (10..40).map(|id| endpoint_entry(&format!("s-000000{id}"), server.address, "Ready")).collect()
 }
 
-/// Serves connections of a server.
+/// Serves the connections to a server.
 #[derive(Clone)]
 struct Handler {
-    act: Arc<dyn Fn(&Message) -> StubResponse + Send + Sync>,
+    respond: Arc<dyn Fn(&Message) -> StubResponse + Send + Sync>,
     requests: Arc<Mutex<Vec<Message>>>,
     idle_before_close: Sender<Duration>,
     second_writes: Sender<()>,
@@ -102,18 +104,18 @@
 
 impl Handler {
     fn serve(&self, mut stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("the socket could not be cloned"));
         loop {
-            let quiet_since = Instant::now();
+            let idle_since = Instant::now();
             let Some(message) = read_message(&mut reader) else {
-                let _ = self.idle_before_close.send(quiet_since.elapsed());
+                let _ = self.idle_before_close.send(idle_since.elapsed());
                 return;
             };
-            self.requests.lock().expect("a lock").push(message.clone());
-            match (self.act)(&message) {
+            self.requests.lock().expect("lock poisoned").push(message.clone());
+            match (self.respond)(&message) {
                 StubResponse::Write(bytes) => _ = stream.write_all(&bytes),
-                StubResponse::WriteTwice(bytes, wait, more) => {
-                    self.write_twice(&mut stream, bytes, wait, more)
+                StubResponse::WriteTwice(bytes, wait, second_bytes) => {
+                    self.write_twice(&mut stream, bytes, wait, second_bytes)
                 }
                 StubResponse::Delayed(wait, bytes) => {
                     std::thread::sleep(wait);
@@ -130,34 +132,36 @@
         }
     }
 
-    /// Without a wait all is one write.
-    fn write_twice(&self, stream: &mut TcpStream, bytes: Vec<u8>, wait: Duration, more: Vec<u8>) {
+    /// Writes both parts; if `wait` is zero, in a single write.
+    fn write_twice(&self, stream: &mut TcpStream, bytes: Vec<u8>, wait: Duration, second_bytes: Vec<u8>) {
         if wait.is_zero() {
-            let _ = stream.write_all(&[bytes, more].concat());
+            let _ = stream.write_all(&[bytes, second_bytes].concat());
         } else {
             let _ = stream.write_all(&bytes);
             std::thread::sleep(wait);
-            let _ = stream.write_all(&more);
+            let _ = stream.write_all(&second_bytes);
         }
         let _ = self.second_writes.send(());
     }
 }
 
-/// Writes and closes, and returns once the close is in the peer's socket.
+/// Writes the bytes and closes the stream for writing. Returns once the peer's socket has received the close.
 fn write_and_close(stream: &mut TcpStream, bytes: &[u8]) {
     let _ = stream.write_all(bytes);
     let _ = stream.shutdown(std::net::Shutdown::Write);
-    eventually("the close is in the peer's socket", || !close_is_under_way(stream));
+    eventually("the peer's socket receives the close", || !is_close_pending(stream));
 }
 
-/// Whether the peer's side has not taken in the close yet: a busy machine delivers it some time after the
-/// call that ends the stream has returned. The kernel shows it by the state of this end.
-fn close_is_under_way(stream: &TcpStream) -> bool {
+/// Whether the peer's socket has not received the close yet. A busy machine delivers the close some time
+/// after the call that closes the stream has returned; until then the kernel shows this end in state
+/// FIN_WAIT1.
+fn is_close_pending(stream: &TcpStream) -> bool {
     const FIN_WAIT1: &str = "04";
     let (Ok(local), Ok(peer)) = (stream.local_addr(), stream.peer_addr()) else { return false };
     let local_port = format!(":{:04X}", local.port());
     let peer_port = format!(":{:04X}", peer.port());
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of connections");
+    let table =
+        std::fs::read_to_string("/proc/net/tcp").expect("the kernel's connection table could not be read");
     let mut rows = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
     rows.any(|row| row[1].ends_with(&local_port) && row[2].ends_with(&peer_port) && row[3] == FIN_WAIT1)
 }
--- a/tests/support/setup.rs
+++ b/tests/support/setup.rs
@@ -1,58 +1,58 @@
-//! What a gateway is started with.
+//! The configuration that a gateway is started with.
 
 use super::{endpoint_list, eventually, Counter, Discovery, GatewayProcess};
 use std::net::SocketAddr;
 
-/// What a gateway is started with.
+/// The configuration and the limits that a gateway process is started with.
 pub struct Setup {
-    /// Where it listens.
+    /// The address that the gateway listens on.
     pub listen: String,
-    /// The discovery agent.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The counter.
+    /// Address of the counter.
     pub counter: SocketAddr,
-    /// The endpoint list that it knows at its start.
+    /// The endpoint list, as JSON, that the gateway has when it starts.
     pub initial_list: String,
-    /// Sockets that it may use.
+    /// Number of sockets that the gateway may use.
     pub sockets: usize,
-    /// Memory that it may use, MB.
+    /// Memory that the gateway may use, MB.
     pub memory_mb: f64,
-    /// The shell's limit on descriptors.
+    /// Limit on the file descriptors of the process, which the shell sets. `None` sets no limit.
     pub descriptor_limit: Option<usize>,
     /// Time after which an idle connection is closed, ms.
     pub idle_timeout: f64,
-    /// Time-out of a connection to a server, ms.
+    /// Timeout for connecting to a server, ms.
     pub connect_timeout: f64,
-    /// Time-out of a counter call, ms.
+    /// Timeout of a counter call, ms.
     pub counter_timeout: f64,
-    /// Attempts may be cancelled.
+    /// Whether the gateway may cancel attempts.
     pub cancellation_allowed: bool,
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: usize,
-    /// The only plan.
+    /// The JSON of the only plan.
     pub plan: &'static str,
-    /// In place of the settings that the fields above make.
+    /// Settings that replace those built from the fields above.
     pub settings: Option<serde_json::Value>,
 }
 
-/// A plan whose quota no test reaches.
+/// A plan whose quota is so large that no test reaches it.
 pub const LARGE_QUOTA_PLAN: &str = r#"{"name":"team","rate":100000,"store_size":100000}"#;
 
-/// A request class as the configuration file names its fields.
-fn class(name: &str, idempotency: &str, goal: u32, deadline: u32) -> String {
+/// Returns the JSON of a request class in the configuration file. `goal_time` and `deadline` are in ms.
+fn class(name: &str, idempotency: &str, goal_time: u32, deadline: u32) -> String {
     format!(
-        r#"{{"name":"{name}","deadline":{deadline},"goal_time":{goal},"importance":2,"idempotency":"{idempotency}","group":"all","repeat_window":25000,"late_value":0}}"#
+        r#"{{"name":"{name}","deadline":{deadline},"goal_time":{goal_time},"importance":2,"idempotency":"{idempotency}","group":"all","repeat_window":25000,"late_value":0}}"#
     )
 }
 
 impl Setup {
-    /// Usual settings.
-    pub fn new(discovery: SocketAddr, counter: SocketAddr, known: &str) -> Setup {
+    /// Creates a setup with default values.
+    pub fn new(discovery: SocketAddr, counter: SocketAddr, initial_list: &str) -> Setup {
         Setup {
             listen: "127.0.0.1:0".into(),
             discovery,
             counter,
-            initial_list: known.into(),
+            initial_list: initial_list.into(),
             sockets: 1024,
             memory_mb: 192.0,
             descriptor_limit: None,
@@ -66,16 +66,16 @@
         }
     }
 
-    /// The configuration file.
+    /// Returns the content of the configuration file.
     pub fn config(&self) -> String {
-        let Some(settings) = &self.settings else { return self.usual_config() };
-        let mut config: serde_json::Value =
-            serde_json::from_str(&self.usual_config()).expect("a configuration");
+        let Some(settings) = &self.settings else { return self.default_config() };
+        let mut config: serde_json::Value = serde_json::from_str(&self.default_config())
+            .expect("the default configuration is not valid JSON");
         config["settings"] = settings.clone();
         config.to_string()
     }
 
-    fn usual_config(&self) -> String {
+    fn default_config(&self) -> String {
         let classes = [
             class("look", "free", 1500, 2000),
             class("book", "guarded", 1500, 2000),
@@ -105,10 +105,12 @@
         )
     }
 
-    /// Starts the gateway and waits until it is ready to serve.
+    /// Starts the gateway and waits until its health check succeeds.
     pub fn start(&self) -> GatewayProcess {
         let gateway = self.launch();
-        eventually("healthz", || gateway.client().get("/healthz", "").status() == 200);
+        eventually("the gateway answers /healthz with status 200", || {
+            gateway.client().get("/healthz", "").status() == 200
+        });
         gateway
     }
 
@@ -118,10 +120,11 @@
     }
 }
 
-/// Discovery that holds these members, a counter, and a setup by which they are known from the start.
+/// Starts a discovery agent whose list contains `members`, and a counter. Returns them with the setup of a
+/// gateway that uses both and has the same list from the start.
 pub fn start_stubs(members: &[String]) -> (Setup, Discovery, Counter) {
-    let known = endpoint_list(1, true, members);
-    let discovery = Discovery::start(known.clone());
+    let initial_list = endpoint_list(1, true, members);
+    let discovery = Discovery::start(initial_list.clone());
     let counter = Counter::ok();
-    (Setup::new(discovery.address, counter.address, &known), discovery, counter)
+    (Setup::new(discovery.address, counter.address, &initial_list), discovery, counter)
 }
--- a/tests/support/unreachable.rs
+++ b/tests/support/unreachable.rs
@@ -1,4 +1,4 @@
-//! A server to which no connection comes up until it is told to accept.
+//! A server to which no connection can be established until the test lets it accept connections.
 
 use super::server::{Server, StubResponse};
 use super::{read_message, Message};
@@ -9,89 +9,101 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A connection that has not come up within this finds the queue full.
-const FULL_AFTER: Duration = Duration::from_millis(300);
-/// More connections than the shortest queue of any machine holds.
-const MAX_FILL: usize = 50;
-/// Length of the queue once connections are served.
-const BACKLOG: i32 = 1024;
+/// If a connection is not established within this time, the accept queue is full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Upper bound of the number of connections that fill the queue. The shortest accept queue of any machine
+/// holds fewer.
+const MAX_FILLER_CONNECTIONS: usize = 50;
+/// Length of the accept queue once the server serves connections.
+const ACCEPT_BACKLOG: i32 = 1024;
 
-/// A server whose connections come up only once it is told to: its queue of connections is full until then.
+/// A server whose accept queue is full, so that no further connection can be established until the test lets
+/// the server accept connections.
 pub struct UnreachableServer {
     socket: Socket,
-    /// Where it will listen.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    fill: Vec<TcpStream>,
+    filler_connections: Vec<TcpStream>,
 }
 
 impl UnreachableServer {
-    /// Listens, and fills the queue.
+    /// Listens on a free port and fills the accept queue with connections of its own.
     #[allow(clippy::new_without_default)] // opens sockets
     pub fn new() -> Self {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        let local: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&local.into()).expect("a port");
-        socket.listen(0).expect("a listener");
-        let address = socket.local_addr().expect("an address").as_socket().expect("an address");
-        let mut fill = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&address, FULL_AFTER) {
-            fill.push(stream);
-            assert!(fill.len() < MAX_FILL, "its queue is never full");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("no socket could be opened");
+        let local: SocketAddr = "127.0.0.1:0".parse().expect("the address is invalid");
+        socket.bind(&local.into()).expect("no port could be bound");
+        socket.listen(0).expect("the socket could not listen");
+        let address =
+            socket.local_addr().expect("the socket has no address").as_socket().expect("not an IP address");
+        let mut filler_connections = Vec::new();
+        while let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
+            filler_connections.push(stream);
+            assert!(
+                filler_connections.len() < MAX_FILLER_CONNECTIONS,
+                "the accept queue was not full after {MAX_FILLER_CONNECTIONS} connections"
+            );
         }
-        UnreachableServer { socket, address, fill }
+        UnreachableServer { socket, address, filler_connections }
     }
 
-    /// Serves all connections from now on, and gives that server and what fills its queue.
+    /// Serves all connections from now on. Returns the server and the connections that filled its queue.
     pub fn serve(
         self,
-        act: impl Fn(&Message) -> StubResponse + Send + Sync + 'static,
+        respond: impl Fn(&Message) -> StubResponse + Send + Sync + 'static,
     ) -> (Server, Vec<TcpStream>) {
-        // With a short queue some would be up at one end only, and what is sent on them come late.
-        self.socket.listen(BACKLOG).expect("a listener");
-        (Server::on(self.socket.into(), act), self.fill)
+        // With a short queue, some connections would be established at the client's end only, and data sent
+        // on them would arrive late.
+        self.socket.listen(ACCEPT_BACKLOG).expect("the socket could not listen");
+        (Server::start_on(self.socket.into(), respond), self.filler_connections)
     }
 
-    /// Takes one connection of the gateway's and gives its first message.
+    /// Accepts connections up to the first one from the gateway, and returns the first message on it.
     pub fn first_message(self) -> Message {
-        let own = self.own_addresses();
+        let filler_addresses = self.filler_addresses();
         let listener: TcpListener = self.socket.into();
-        let (stream, _) = std::iter::repeat_with(|| listener.accept().expect("a connection"))
-            .find(|(_, from)| !own.contains(from))
-            .expect("a connection of the limiter's");
-        read_message(&mut BufReader::new(stream)).expect("a request")
+        let (stream, _) = std::iter::repeat_with(|| listener.accept().expect("no connection was accepted"))
+            .find(|(_, from)| !filler_addresses.contains(from))
+            .expect("no connection from the gateway was accepted");
+        read_message(&mut BufReader::new(stream))
+            .expect("the gateway closed its connection without a request")
     }
 
-    /// Takes all connections from now on. Counts the bytes that come on them, and those of the gateway's
-    /// that have come up and are closed.
+    /// Accepts all connections from now on. Returns two counts: the bytes received on all connections, and
+    /// the connections from the gateway that were accepted and have ended.
     pub fn accept_and_count(self) -> (Arc<AtomicUsize>, Arc<AtomicUsize>) {
         let bytes = Arc::new(AtomicUsize::new(0));
         let closed = Arc::new(AtomicUsize::new(0));
         let counts = (bytes.clone(), closed.clone());
-        let own = self.own_addresses();
+        let filler_addresses = self.filler_addresses();
         std::thread::spawn(move || {
             let listener: TcpListener = self.socket.into();
-            let _fill = self.fill;
+            let _filler_connections = self.filler_connections;
             while let Ok((stream, from)) = listener.accept() {
-                let (bytes, closed, is_gateways) = (bytes.clone(), closed.clone(), !own.contains(&from));
+                let (bytes, closed, is_from_gateway) =
+                    (bytes.clone(), closed.clone(), !filler_addresses.contains(&from));
                 std::thread::spawn(move || {
                     count_bytes(stream, &bytes);
-                    closed.fetch_add(usize::from(is_gateways), Ordering::SeqCst);
+                    closed.fetch_add(usize::from(is_from_gateway), Ordering::SeqCst);
                 });
             }
         });
         counts
     }
 
-    /// Addresses of the connections that fill the queue.
-    fn own_addresses(&self) -> Vec<SocketAddr> {
-        self.fill.iter().map(|stream| stream.local_addr().expect("an address")).collect()
+    /// Client addresses of the connections that fill the queue.
+    fn filler_addresses(&self) -> Vec<SocketAddr> {
+        self.filler_connections
+            .iter()
+            .map(|stream| stream.local_addr().expect("the connection has no address"))
+            .collect()
     }
 }
 
-/// Counts what comes on a connection until it is closed.
+/// Counts the bytes received on a connection until it is closed or fails.
 fn count_bytes(mut stream: TcpStream, bytes: &AtomicUsize) {
-    let mut piece = [0; 1024];
-    while let Ok(n @ 1..) = stream.read(&mut piece) {
+    let mut buffer = [0; 1024];
+    while let Ok(n @ 1..) = stream.read(&mut buffer) {
         bytes.fetch_add(n, Ordering::SeqCst);
     }
 }
