--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -1,8 +1,8 @@
-//! What the gateway holds returns to its level: descriptors, connections to the counter and correlation ids
-//! in flight, after bursts of clients that disconnect, of clients that send nonsense, and of responses that
-//! cannot be used.
+//! The gateway stays within its resource limits and leaks no resources. Disconnecting clients, invalid
+//! requests and unusable responses must not leak descriptors, counter connections or correlation ids. Idle or
+//! busy clients must not take the descriptors that discovery, the counter and servers need.
 
-#[allow(dead_code)] // each file of tests uses its own part
+#[allow(dead_code)] // each test file uses only some of its items
 mod support;
 
 use socket2::SockRef;
@@ -15,45 +15,47 @@
     Discovery, Gate, GatewayProcess, Message, Server, Setup, StubResponse,
 };
 
-/// Descriptors that the gateway holds.
+/// Number of file descriptors that the gateway has open.
 fn descriptors(gateway: &GatewayProcess) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id())).expect("its descriptors").count()
+    std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
+        .expect("the descriptors of the gateway could not be read")
+        .count()
 }
 
-/// Memory that the gateway holds, kB.
+/// Resident memory of the gateway, kB.
 fn memory(gateway: &GatewayProcess) -> usize {
     let path = format!("/proc/{}/status", gateway.child.id());
-    let status = std::fs::read_to_string(path).expect("its status");
-    let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("its memory");
-    line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
+    let status = std::fs::read_to_string(path).expect("the status of the gateway could not be read");
+    let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("the status has no VmRSS line");
+    line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("the VmRSS line has no number")
 }
 
-/// Sixty clients connect at once to a gateway that may hold eight. None of them may be lost, and the
-/// descriptors may not go beyond the bound meanwhile.
+/// Sixty clients connect at once to a gateway that keeps at most eight client connections open. Each client
+/// must get its response, and the number of descriptors must stay within the limit while the clients wait.
 #[test]
-fn a_burst_of_connections_stays_within_the_bound_and_each_is_served_in_its_turn() {
+fn a_burst_of_clients_stays_within_the_connection_limit_and_each_client_is_served() {
     let gate = Gate::default();
     let server = gated_server(&gate);
     let (mut setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
-    // Eight clients and eight connections to servers, the least that is set.
+    // With 0 sockets the gateway uses its minimum: eight client connections and eight server connections.
     setup.sockets = 0;
     let gateway = setup.start();
     let before = descriptors(&gateway);
-    // All stand in the queue before the first is accepted.
+    // All connections are in the accept queue before the gateway accepts the first one.
     gateway.signal("-STOP");
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     clients.iter_mut().for_each(|client| client.send("POST", "long", "X-Time-Left: 20\r\n", b"{}"));
     gateway.signal("-CONT");
-    eventually("the first attempts", || server.count() >= 8);
-    let held = descriptors(&gateway);
-    assert!(held <= before + 8 + 8, "{held} descriptors, {before} before");
+    eventually("the server receives the first eight attempts", || server.count() >= 8);
+    let during_burst = descriptors(&gateway);
+    assert!(during_burst <= before + 8 + 8, "{during_burst} descriptors during the burst, {before} before");
     gate.open();
     for client in &mut clients {
         assert_eq!(client.read().map(|response| response.status()), Some(200));
     }
 }
 
-/// A server that answers once the gate is open.
+/// Starts a server that responds only once the gate is open.
 fn gated_server(gate: &Gate) -> Server {
     let gate = gate.clone();
     Server::start(move |_| {
@@ -62,43 +64,54 @@
     })
 }
 
-/// The most descriptors of a gateway at rest: its own, and connections to peers that it keeps.
+/// Maximum number of descriptors of a gateway without clients: 30 of its own, and 24 connections to peers
+/// that it keeps open.
 const DESCRIPTORS_AT_REST: usize = 30 + 24;
-/// The most that memory may grow after the first round, kB.
+/// Maximum growth of the memory after the first round, kB.
 const MAX_MEMORY_GROWTH: usize = 4096;
-/// Connections to the counter.
+/// Number of connections that the gateway keeps to the counter.
 const COUNTER_CONNECTIONS: usize = 4;
 
-/// For four rounds clients disconnect, reset and send nonsense, and servers answer with what is no response.
-/// After each round the descriptors have to come back to their level, and after the last one the memory.
+/// In each of four rounds, clients disconnect, reset their connections and send invalid data, and servers
+/// send unusable responses. The number of descriptors must return to its level after each round, and the
+/// memory must grow by less than [`MAX_MEMORY_GROWTH`] between the first and the last round.
 #[test]
-fn disconnected_and_invalid_clients_and_unusable_responses_leave_nothing_behind() {
+fn disconnects_invalid_requests_and_unusable_responses_leak_no_resources() {
     let server = server_with_unusable_responses();
     let (mut setup, _discovery, counter) = start_stubs(&endpoints_of(&server));
     setup.sockets = 400;
     let gateway = setup.start();
     assert_eq!(gateway.client().get_idempotent().status(), 200);
     let counter_connections = || counter.connections.load(Ordering::SeqCst);
-    eventually("connections to the counter", || counter_connections() >= COUNTER_CONNECTIONS);
+    eventually("the gateway opens its connections to the counter", || {
+        counter_connections() >= COUNTER_CONNECTIONS
+    });
     let mut memory_levels = Vec::new();
     for _ in 0..4 {
-        (0..60).for_each(|kind| misbehave(gateway.client(), kind));
-        // Waits for each to be answered, unusable as the server's responses are.
+        (0..60).for_each(|kind| send_and_disconnect(gateway.client(), kind));
+        // The gateway must answer each of these requests, although the server's responses are unusable.
         for _ in 0..8 {
             assert_eq!(gateway.client().post_non_idempotent("0.3").status() / 100, 5);
         }
         assert_correlation_id_is_released(&gateway);
-        eventually("descriptors at their level", || descriptors(&gateway) <= DESCRIPTORS_AT_REST);
+        eventually("the number of descriptors returns to its level", || {
+            descriptors(&gateway) <= DESCRIPTORS_AT_REST
+        });
         memory_levels.push(memory(&gateway));
     }
-    // The first round warms up buffers; later ones add nothing.
+    // The first round allocates the buffers; later rounds must add nothing.
     let (first, last) = (memory_levels[0], memory_levels[memory_levels.len() - 1]);
-    assert!(last < first + MAX_MEMORY_GROWTH, "memory grows: {memory_levels:?} kB");
-    assert!(counter_connections() <= COUNTER_CONNECTIONS, "connections to the counter were replaced");
+    assert!(
+        last < first + MAX_MEMORY_GROWTH,
+        "the memory grew too much after the first round: {memory_levels:?} kB"
+    );
+    assert!(counter_connections() <= COUNTER_CONNECTIONS, "the gateway replaced connections to the counter");
     assert_eq!(gateway.client().get_idempotent().status(), 200);
 }
 
-/// A server that answers requests of one class with silence, noise, an endless body and a cut one in turn.
+/// Starts a server that responds to requests of the class `once` in turn with nothing, bytes that are no
+/// HTTP, a response whose body is far too long, and a truncated response. It responds normally to all other
+/// requests.
 fn server_with_unusable_responses() -> Server {
     let unusable = AtomicUsize::new(0);
     let endless = ["HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", &"x".repeat(200_000)].concat();
@@ -115,14 +128,16 @@
     })
 }
 
-/// Disconnects in one of four ways, after a request or what is none.
-fn misbehave(mut client: Client, kind: usize) {
+/// Sends a request, invalid data or half a request, and disconnects. `kind` selects one of four combinations.
+fn send_and_disconnect(mut client: Client, kind: usize) {
     match kind % 4 {
         0 => client.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}"),
         1 => {
             client.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}");
-            // The close is a reset.
-            SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("linger");
+            // Without linger time, the close resets the connection.
+            SockRef::from(&client.stream)
+                .set_linger(Some(Duration::ZERO))
+                .expect("the linger option could not be set");
         }
         2 => _ = client.stream.write_all(&[b'x'; 30_000]),
         // Half a request.
@@ -130,36 +145,38 @@
     }
 }
 
-/// A correlation id in flight is released when its client disconnects: the same one may be used again.
+/// Checks that the gateway releases the correlation id of a request in flight when its client disconnects:
+/// the same id must be usable again.
 fn assert_correlation_id_is_released(gateway: &GatewayProcess) {
     const REQUEST: &[u8] = b"GET /look?customer=00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: same\r\n\
         X-Service-Class: look\r\nX-Plan: team\r\nX-Time-Left: 1.9\r\nX-Quota: units=1,spread=2,first=0\r\n\r\n";
     drop(gateway.client().stream.write_all(REQUEST));
-    eventually("the correlation id is released", || {
+    eventually("the gateway releases the correlation id", || {
         gateway.client().exchange_bytes(REQUEST).is_some_and(|response| response.status() == 200)
     });
 }
 
-/// The smallest limit on sockets, of the configuration and of the process.
+/// The smallest socket limit, set both in the configuration and as the descriptor limit of the process.
 const MIN_SOCKETS: usize = 256;
-/// Descriptors that are kept for the gateway itself and its peers.
+/// Number of descriptors that the gateway reserves for itself and for its connections to discovery and the
+/// counter.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// A new list is in force so soon after discovery is back.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(6);
+/// Time within which a new list must be applied once discovery responds again.
+const LIST_APPLY_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A gateway with the smallest limit whose discovery is down, and the peers of a new configuration, whose
-/// discovery is silent.
-struct LimiterAtLimit {
+/// A gateway with the smallest socket limit whose discovery agent is down, and the peers of a new
+/// configuration, whose discovery agent does not respond at first.
+struct GatewayAtSocketLimit {
     gateway: GatewayProcess,
-    /// The new configuration.
+    /// The setup of the new configuration.
     setup: Setup,
     new_discovery: Discovery,
     new_counter: Counter,
-    /// The first peers, which have to live as long.
+    /// The first discovery agent and counter, which have to exist for as long as the gateway.
     _old_peers: (Discovery, Counter),
 }
 
-impl LimiterAtLimit {
+impl GatewayAtSocketLimit {
     fn start(server: &Server, new_server: &Server) -> Self {
         let members = |server: &Server| -> Vec<String> {
             (10..70).map(|id| endpoint_entry(&format!("s-000000{id}"), server.address, "Ready")).collect()
@@ -168,8 +185,8 @@
         setup.sockets = MIN_SOCKETS;
         setup.descriptor_limit = Some(MIN_SOCKETS);
         let gateway = setup.start();
-        eventually("a watch", || discovery.watch_count() > 0);
-        eventually("connections to the counter", || has_connections(&counter));
+        eventually("the gateway opens a watch", || discovery.watch_count() > 0);
+        eventually("the gateway opens its connections to the counter", || has_connections(&counter));
         let new_discovery = Discovery::start(endpoint_list(7, true, &members(new_server)));
         let new_counter = Counter::ok();
         for agent in [&discovery, &new_discovery] {
@@ -178,25 +195,32 @@
         discovery.reset();
         setup.discovery = new_discovery.address;
         setup.counter = new_counter.address;
-        LimiterAtLimit { gateway, setup, new_discovery, new_counter, _old_peers: (discovery, counter) }
+        GatewayAtSocketLimit { gateway, setup, new_discovery, new_counter, _old_peers: (discovery, counter) }
     }
 
-    /// Reloads the configuration, lets discovery answer, and waits until its list is in force: all that is no
-    /// client's gets its descriptors.
+    /// Reloads the configuration, lets the new discovery agent respond and waits until the gateway has
+    /// applied its list. This fails if a connection to discovery or to the counter gets no descriptor.
     fn move_to_new_peers(&self) {
-        let LimiterAtLimit { gateway, setup, new_discovery, new_counter, .. } = self;
+        let GatewayAtSocketLimit { gateway, setup, new_discovery, new_counter, .. } = self;
         gateway.reload(&setup.config());
-        eventually("a call to the silent discovery", || new_discovery.call_count() > 0);
-        eventually("connections to the new counter", || has_connections(new_counter));
+        eventually("the gateway calls the silent discovery agent", || new_discovery.call_count() > 0);
+        eventually("the gateway opens its connections to the new counter", || has_connections(new_counter));
         let started = Instant::now();
         new_discovery.unresponsive.store(false, Ordering::SeqCst);
-        eventually("a watch after the list", || new_discovery.watch_count() > 0);
+        eventually("the gateway opens a watch after it has read the list", || {
+            new_discovery.watch_count() > 0
+        });
         let elapsed = started.elapsed();
         let descriptors = descriptors(gateway);
-        println!("in force {elapsed:.2?} after discovery's return, {descriptors} descriptors");
-        assert!(elapsed < IN_FORCE_WITHIN, "in force after {elapsed:?}");
-        let calls = new_discovery.request_lines.lock().expect("a lock").clone();
-        assert!(calls.iter().any(|call| call.contains("since=7")), "{calls:?}");
+        println!(
+            "the list was applied {elapsed:.2?} after discovery responded again, {descriptors} descriptors"
+        );
+        assert!(elapsed < LIST_APPLY_TIMEOUT, "the list was applied only after {elapsed:?}");
+        let requests = new_discovery.request_lines.lock().expect("lock poisoned").clone();
+        assert!(
+            requests.iter().any(|request| request.contains("since=7")),
+            "no watch from revision 7: {requests:?}"
+        );
     }
 }
 
@@ -204,22 +228,23 @@
     counter.connections.load(Ordering::SeqCst) >= COUNTER_CONNECTIONS
 }
 
-/// Far more idle clients than descriptors are connected and keep connecting. Discovery, the counter, servers
-/// and a client with a request still have to get their descriptors.
+/// Far more idle clients than there are descriptors connect, and more keep connecting. The connections to
+/// discovery, the counter and servers, and a client with a request, must still get descriptors.
 #[test]
-fn idle_clients_that_fill_the_descriptors_take_none_from_peers_or_requests() {
+fn idle_clients_take_no_descriptors_from_peers_or_requests() {
     let (server, new_server) = (Server::ok(), Server::ok());
-    let at_limit = LimiterAtLimit::start(&server, &new_server);
+    let at_limit = GatewayAtSocketLimit::start(&server, &new_server);
     let gateway = &at_limit.gateway;
-    // Connected already, half of them after one request; and more that connect meanwhile.
+    // These clients connect before the gateway moves to the new peers, and half of them send one request.
+    // More clients connect during the move.
     let mut idle: Vec<Client> = (0..200).map(|_| gateway.client()).collect();
     for client in idle.iter_mut().step_by(2) {
-        // One whose descriptor was wanted may have been closed.
+        // The gateway may have closed this connection because it needed the descriptor.
         _ = client.exchange_bytes(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     let address = gateway.address;
     let connected = Arc::new(AtomicUsize::new(0));
-    let connected_so_far = connected.clone();
+    let connected_count = connected.clone();
     let connecting = std::thread::spawn(move || {
         let connect = |_| {
             let client = Client::connect(address);
@@ -229,45 +254,46 @@
         (0..400).map(connect).collect::<Vec<_>>()
     });
     at_limit.move_to_new_peers();
-    eventually("more idle clients than descriptors", || {
-        connected_so_far.load(Ordering::SeqCst) > MIN_SOCKETS
+    eventually("more idle clients have connected than there are descriptors", || {
+        connected_count.load(Ordering::SeqCst) > MIN_SOCKETS
     });
-    // A client with a request is still served, and from the list that is in force now.
+    // The gateway still serves a client with a request, and uses the new list for it.
     let before = server.count();
-    eventually("a response", || {
+    eventually("the gateway responds with status 200", || {
         let mut client = gateway.client();
         client.send("GET", "look", "X-Time-Left: 2.0\r\n", b"");
         client.read().is_some_and(|response| response.status() == 200)
     });
-    assert_eq!(server.count(), before, "sent to a server that is removed");
-    assert!(new_server.count() > 0);
-    assert!(descriptors(gateway) <= MIN_SOCKETS);
-    drop((idle, connecting.join().expect("the connecting clients")));
+    assert_eq!(server.count(), before, "a request was sent to a server that the new list does not contain");
+    assert!(new_server.count() > 0, "no request was sent to the server of the new list");
+    assert!(descriptors(gateway) <= MIN_SOCKETS, "the gateway has more descriptors than the limit");
+    drop((idle, connecting.join().expect("the thread that connects clients panicked")));
 }
 
-/// All client connections that the gateway accepts have a request in flight. Discovery and the counter still
-/// have to get their descriptors.
+/// All client connections that the gateway accepts have a request in flight. The connections to discovery and
+/// the counter must still get descriptors.
 #[test]
-fn requests_in_flight_on_all_client_connections_take_no_descriptor_from_peers() {
+fn requests_in_flight_on_all_client_connections_take_no_descriptors_from_peers() {
     let gate = Gate::default();
     let server = gated_server(&gate);
     let new_server = Server::ok();
-    let at_limit = LimiterAtLimit::start(&server, &new_server);
+    let at_limit = GatewayAtSocketLimit::start(&server, &new_server);
     let gateway = &at_limit.gateway;
-    // All stand in the queue before the first is accepted.
+    // All connections are in the accept queue before the gateway accepts the first one.
     gateway.signal("-STOP");
     let mut clients: Vec<Client> = (0..MIN_SOCKETS).map(|_| gateway.client()).collect();
     clients.iter_mut().for_each(|client| client.send("POST", "long", "X-Time-Left: 30\r\n", b"{}"));
     gateway.signal("-CONT");
-    // What the gateway lets clients have, and for each request a connection to its server.
-    let client_share = (MIN_SOCKETS - RESERVED_DESCRIPTORS) / 2;
-    eventually("an attempt for each", || server.count() >= client_share);
-    assert_eq!(server.count(), client_share);
+    // Clients get half of the remaining descriptors. The other half is for connections to servers, one for
+    // each request.
+    let max_clients = (MIN_SOCKETS - RESERVED_DESCRIPTORS) / 2;
+    eventually("the server receives an attempt for each accepted request", || server.count() >= max_clients);
+    assert_eq!(server.count(), max_clients, "the gateway accepted more clients than their share");
     at_limit.move_to_new_peers();
-    assert!(descriptors(gateway) <= MIN_SOCKETS);
+    assert!(descriptors(gateway) <= MIN_SOCKETS, "the gateway has more descriptors than the limit");
     gate.open();
     for client in &mut clients {
         assert_eq!(client.read().map(|response| response.status()), Some(200));
     }
-    assert!(new_server.count() > 0, "the list is not in force");
+    assert!(new_server.count() > 0, "no request was sent to the server of the new list");
 }
