--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -39,7 +39,7 @@
         setup.plan = ONE_IN_FLIGHT_PLAN;
         let gateway = setup.start();
         let mut slow = send_request(&gateway, "slow");
-        eventually("the slow request occupies the slot", || server.count() == 1);
+        eventually("the slow request occupies the slot", || server.request_count() == 1);
         let queued = send_requests(&gateway, "queued", client_count(kind));
         wait_until_gateway_has_read_all(&gateway);
         queued.into_iter().for_each(|client| disconnect(client, kind));
@@ -131,11 +131,11 @@
             setup.cancellation_allowed = cancellation_allowed;
             let gateway = setup.start();
             let clients = send_requests(&gateway, "slow", client_count(kind));
-            eventually("a server receives the first attempt", || a.count() + b.count() >= 1);
+            eventually("a server receives the first attempt", || a.request_count() + b.request_count() >= 1);
             wait_until_gateway_has_read_all(&gateway);
             clients.into_iter().for_each(|client| disconnect(client, kind));
             wait_for_disconnects(&gateway, 0);
-            let before = a.count() + b.count();
+            let before = a.request_count() + b.request_count();
             gate.open();
             let mut after = send_request(&gateway, "after");
             assert_eq!(after.read().expect("no response to the later request").status(), 200, "{kind:?}");
--- a/tests/client_disconnect/sockets.rs
+++ b/tests/client_disconnect/sockets.rs
@@ -75,7 +75,7 @@
     let mut last_change = Instant::now();
     eventually("the server has read everything that was sent to it", || {
         let is_unread = sockets_at(server.address).iter().any(SocketEntry::has_unread_bytes);
-        let count = server.count();
+        let count = server.request_count();
         if is_unread || count != last_count {
             last_count = count;
             last_change = Instant::now();
--- a/tests/end_to_end/client_requests.rs
+++ b/tests/end_to_end/client_requests.rs
@@ -116,7 +116,7 @@
     client.stream.shutdown(std::net::Shutdown::Write).expect("closing the sending side failed");
     assert_ne!(client.read().map(|m| m.status()), Some(200), "an incomplete request was served");
     assert_eq!(gateway.client().get_idempotent().status(), 200);
-    assert_eq!(server.count(), 2, "a rejected request was forwarded");
+    assert_eq!(server.request_count(), 2, "a rejected request was forwarded");
 }
 
 /// A client sends a request with the id of another request that is in flight. Accepting it would mix up their
@@ -128,7 +128,7 @@
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let (mut first, mut other) = (gateway.client(), gateway.client());
     first.stream.write_all(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("send failed");
-    eventually("the server receives the attempt", || server.count() == 1);
+    eventually("the server receives the attempt", || server.request_count() == 1);
     assert_eq!(
         other.exchange_bytes(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("no response").status(),
         409
@@ -140,7 +140,7 @@
     );
     // The id can also be used again after the client has disconnected.
     first.stream.write_all(format!("{REQUEST_HEAD}\r\n").as_bytes()).expect("send failed");
-    eventually("the server receives the third attempt", || server.count() == 3);
+    eventually("the server receives the third attempt", || server.request_count() == 3);
     drop(first);
     eventually("the id can be used again", || {
         gateway
@@ -184,7 +184,7 @@
     let (_, elapsed) = read_until_closed(&mut client);
     assert!(elapsed < Duration::from_millis(2900), "closed after {elapsed:?}");
     trickle.join().expect("the sending thread panicked");
-    assert_eq!(server.count(), 0, "an incomplete request was forwarded");
+    assert_eq!(server.request_count(), 0, "an incomplete request was forwarded");
 }
 
 /// A client disconnects while a server processes its request. The response is no longer needed, so the
@@ -195,7 +195,7 @@
     let (gateway, _discovery, _counter) = start_gateway(&[&server]);
     let mut client = gateway.client();
     client.send("GET", "look", "X-Time-Left: 30\r\n", b"");
-    eventually("the server receives the attempt", || server.count() == 1);
+    eventually("the server receives the attempt", || server.request_count() == 1);
     drop(client);
     let idle = server.idle_before_close.recv_timeout(WAIT_TIMEOUT).expect("no connection was closed");
     assert!(idle < Duration::from_millis(1000), "the attempt's connection was only closed after {idle:?}");
--- a/tests/end_to_end/counter_service.rs
+++ b/tests/end_to_end/counter_service.rs
@@ -121,9 +121,9 @@
         rejected += 1;
     }
     assert!(
-        rejected >= 10 && server.count() == 20 - rejected,
+        rejected >= 10 && server.request_count() == 20 - rejected,
         "{rejected} rejected, {} forwarded",
-        server.count()
+        server.request_count()
     );
 }
 
@@ -154,7 +154,7 @@
         "a request was neither served nor rejected"
     );
     let max_forwarded = 60.0 + 40.0 * start.elapsed().as_secs_f64() + 6.0;
-    let forwarded = server.count() as f64;
+    let forwarded = server.request_count() as f64;
     assert!(
         forwarded > 10.0 && forwarded <= max_forwarded,
         "{forwarded} requests were forwarded, where over 10 and at most {max_forwarded} are allowed"
--- a/tests/end_to_end/endpoint_watch.rs
+++ b/tests/end_to_end/endpoint_watch.rs
@@ -27,23 +27,23 @@
     discovery.write(&line[..40]);
     discovery.write(&line[40..]);
     assert_idle_connection_closed(&a);
-    let count_at_drain = a.count();
+    let count_at_drain = a.request_count();
     assert_eq!(concurrent_statuses(&gateway, 12), [200; 12]);
     discovery.write(&event(3, true, &[entry(0, &a, "Terminating"), entry(2, &c, "Ready")]));
     assert_idle_connection_closed(&b);
-    let b_count_at_removal = b.count();
+    let b_count_at_removal = b.request_count();
     assert_eq!(concurrent_statuses(&gateway, 12), [200; 12]);
     assert_eq!(
-        (a.count(), b.count()),
+        (a.request_count(), b.request_count()),
         (count_at_drain, b_count_at_removal),
         "a draining or removed server got a request"
     );
     discovery.write(&event(4, false, &[entry(2, &c, "Gone"), entry(0, &a, "Ready")]));
     assert_idle_connection_closed(&c);
-    let c_count_at_removal = c.count();
+    let c_count_at_removal = c.request_count();
     assert_eq!(client.get_idempotent().status(), 200);
     assert_eq!(
-        (a.count(), c.count()),
+        (a.request_count(), c.request_count()),
         (count_at_drain + 1, c_count_at_removal),
         "the request did not go to the ready server"
     );
@@ -64,7 +64,7 @@
     assert!(requests[1].contains("/v1/servers HTTP"), "not a request for the complete list: {requests:?}");
     assert!(requests[2].contains("since=9"), "not a watch from revision 9: {requests:?}");
     assert_eq!(gateway.client().get_idempotent().status(), 200);
-    assert_eq!((a.count(), b.count()), (1, 1));
+    assert_eq!((a.request_count(), b.request_count()), (1, 1));
 }
 
 #[test]
@@ -80,9 +80,9 @@
     discovery.write(&multi_line[..split_at]);
     discovery.write(&(multi_line[split_at..].to_owned() + "\n"));
     assert_idle_connection_closed(&a);
-    let count_at_drain = a.count();
+    let count_at_drain = a.request_count();
     assert_eq!(concurrent_statuses(&gateway, 8), [200; 8]);
-    assert_eq!(a.count(), count_at_drain, "the draining server got a request");
+    assert_eq!(a.request_count(), count_at_drain, "the draining server got a request");
     let requests = discovery.request_lines.lock().expect("lock poisoned").clone();
     assert_eq!(requests.len(), 1, "the watch was reopened: {requests:?}");
 }
@@ -105,7 +105,7 @@
         eventually("the gateway opens a watch", || discovery.watch_count() == 1);
         *discovery.list.lock().expect("lock poisoned") =
             endpoint_list(9, true, std::slice::from_ref(&valid_entry));
-        let count_before = a.count();
+        let count_before = a.request_count();
         discovery.write(&invalid_event);
         eventually("the gateway opens a new watch", || discovery.watch_count() == 2);
         let requests = discovery.request_lines.lock().expect("lock poisoned").clone();
@@ -115,7 +115,7 @@
         );
         assert_eq!(gateway.client().get_idempotent().status(), 200, "not served after {invalid_event:?}");
         assert_eq!(
-            a.count(),
+            a.request_count(),
             count_before,
             "forwarded to a server that is not in the complete list, after {invalid_event:?}"
         );
@@ -163,7 +163,7 @@
     discovery.write(&event(8, false, &[entry(0, &a, "Gone"), entry(1, &b, "Ready")]));
     assert_idle_connection_closed(&a);
     assert_eq!(gateway.client().get_idempotent().status(), 200);
-    assert_eq!((a.count(), b.count()), (1, 1));
+    assert_eq!((a.request_count(), b.request_count()), (1, 1));
 }
 
 /// A watch is reset in the middle of a line; the gateway must resume it from the last complete revision. Then
@@ -179,7 +179,7 @@
     let change = event(5, false, &[entry(1, &b, "Ready")]);
     first.write(&change);
     eventually("the gateway applies the change", || {
-        gateway.client().get_idempotent().status() == 200 && b.count() > 0
+        gateway.client().get_idempotent().status() == 200 && b.request_count() > 0
     });
     first.write(&change[..40]);
     first.reset();
@@ -205,10 +205,14 @@
         "the complete list of the new agent was not requested: {requests:?}"
     );
     // The gateway has applied the new agent's list before it opened the watch.
-    let (requests_to_a, calls_to_first) = (a.count(), first.call_count());
+    let (requests_to_a, calls_to_first) = (a.request_count(), first.call_count());
     let mut client = gateway.client();
     assert!((0..8).all(|_| client.get_idempotent().status() == 200), "a request was not served");
-    assert_eq!(a.count(), requests_to_a, "a server that is not in the new agent's list got a request");
+    assert_eq!(
+        a.request_count(),
+        requests_to_a,
+        "a server that is not in the new agent's list got a request"
+    );
     assert_eq!(first.call_count(), calls_to_first, "the old agent still gets requests");
 }
 
--- a/tests/end_to_end/lifecycle.rs
+++ b/tests/end_to_end/lifecycle.rs
@@ -18,7 +18,7 @@
     let mut gateway = setup.start();
     let mut client = gateway.client();
     client.send("GET", "look", "X-Time-Left: 2.0\r\n", b"");
-    eventually("the server receives the attempt", || server.count() == 1);
+    eventually("the server receives the attempt", || server.request_count() == 1);
     let mut idle = gateway.client();
     assert_eq!(idle.get("/healthz", "").status(), 200);
     gateway.terminate();
@@ -55,7 +55,7 @@
     let mut gateway = gateway;
     let mut client = gateway.client();
     client.send("POST", "long", "X-Time-Left: 60\r\n", b"{}");
-    eventually("the server receives the attempt", || server.count() == 1);
+    eventually("the server receives the attempt", || server.request_count() == 1);
     gateway.terminate();
     let status = client.read().expect("no response").status();
     assert!(matches!(status, 502 | 504), "unexpected status {status}");
@@ -86,7 +86,7 @@
     send_until("the gateway responds", &|| true);
     let mut in_flight = gateway.client();
     in_flight.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}");
-    eventually("the slow server receives the attempt", || slow.count() == 2);
+    eventually("the slow server receives the attempt", || slow.request_count() == 2);
     // The revisions of the second agent start at 0 again.
     let (second, second_counter) = (Discovery::start(ready_list(0, &[&slow, &other])), Counter::ok());
     (setup.discovery, setup.counter) = (second.address, second_counter.address);
@@ -97,7 +97,7 @@
         first_request.contains("/v1/servers HTTP"),
         "not a request for the complete list: {first_request}"
     );
-    send_until("the new agent's server receives a request", &|| other.count() > 0);
+    send_until("the new agent's server receives a request", &|| other.request_count() > 0);
     send_until("the new counter receives a call", &|| second_counter.calls.load(Ordering::SeqCst) > 0);
     assert_eq!(in_flight.read().expect("no response").body, b"late but complete");
     // An invalid file changes nothing and does not prevent the next reload.
--- a/tests/end_to_end/upstream_responses.rs
+++ b/tests/end_to_end/upstream_responses.rs
@@ -18,9 +18,9 @@
         statuses.iter().all(|s| matches!(s, 200 | 502)),
         "a request was neither served nor failed: {statuses:?}"
     );
-    assert!(failing.count() > 0, "the failing server got no request");
+    assert!(failing.request_count() > 0, "the failing server got no request");
     assert_eq!(
-        (failing.count(), healthy.count()),
+        (failing.request_count(), healthy.request_count()),
         (failed, 12 - failed),
         "a request did not get exactly one attempt"
     );
@@ -48,8 +48,8 @@
     let unreachable = Server { address, ..unreachable };
     let (gateway, _discovery, _counter) = start_gateway(&[&overloaded, &unreachable, &healthy]);
     assert_eq!(concurrent_statuses(&gateway, 8), [200; 8]);
-    assert_eq!(healthy.count(), 8, "the healthy server did not get each request once");
-    assert!(overloaded.count() > 0, "the overloaded server got no request");
+    assert_eq!(healthy.request_count(), 8, "the healthy server did not get each request once");
+    assert!(overloaded.request_count() > 0, "the overloaded server got no request");
 }
 
 /// A server responds with an error, or its response is truncated or invalid. The request may have been
@@ -66,7 +66,7 @@
         let server = Server::start(move |_| StubResponse::Close(bytes.clone()));
         let (gateway, _discovery, _counter) = start_gateway(&[&server]);
         assert_eq!(gateway.client().post_non_idempotent("1.9").status(), 502);
-        assert_eq!(server.count(), 1, "the request was retried");
+        assert_eq!(server.request_count(), 1, "the request was retried");
     }
 }
 
@@ -184,7 +184,7 @@
         let start = Instant::now();
         let status = gateway.client().post_non_idempotent("1.9").status();
         let head: String = invalid.chars().take(60).collect();
-        assert_eq!((status, server.count()), (502, 1), "not failed after one attempt: {head:?}");
+        assert_eq!((status, server.request_count()), (502, 1), "not failed after one attempt: {head:?}");
         assert!(
             start.elapsed() < Duration::from_millis(1000),
             "{head:?} failed only after {:?}",
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -38,7 +38,7 @@
 fn assert_watch_kept(gateway: &GatewayProcess, discovery: &Discovery, calls: usize, next: &Server) {
     discovery.write(&complete_list(9, next, false));
     eventually("the list sent over the existing watch is applied", || {
-        gateway.client().get_idempotent().status() == 200 && next.count() > 0
+        gateway.client().get_idempotent().status() == 200 && next.request_count() > 0
     });
     let requests = discovery.request_lines.lock().expect("the lock is not poisoned").clone();
     assert_eq!(requests.len(), calls, "the gateway called discovery again: {requests:?}");
@@ -87,7 +87,7 @@
         let (start, cpu_at_start) = (Instant::now(), cpu_time(&gateway));
         discovery.write(&text);
         eventually("the list sent over the watch is applied", || {
-            gateway.client().get_idempotent().status() == 200 && server.count() > 0
+            gateway.client().get_idempotent().status() == 200 && server.request_count() > 0
         });
         let (elapsed, cpu_used) = (start.elapsed(), cpu_time(&gateway) - cpu_at_start);
         println!(
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -79,13 +79,13 @@
     setup.sockets = 0;
     let mut gateway = setup.start();
     let mut accepted: Vec<Client> = (0..8).map(|_| send_gated_request(&gateway)).collect();
-    eventually("the server receives eight attempts", || server.count() == 8);
+    eventually("the server receives eight attempts", || server.request_count() == 8);
     let mut waiting: Vec<Client> = (0..6).map(|_| send_gated_request(&gateway)).collect();
     gateway.terminate();
     // Waits past the period in which new connections may arrive. The test would also pass if this pause were
     // too short.
     std::thread::sleep(Duration::from_millis(800));
-    assert_eq!(server.count(), 8, "a connection that should wait to be accepted was served");
+    assert_eq!(server.request_count(), 8, "a connection that should wait to be accepted was served");
     gate.open();
     for client in accepted.iter_mut().chain(&mut waiting) {
         assert_eq!(client.read().map(|m| m.status()), Some(200));
@@ -102,7 +102,7 @@
     let (setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
     let mut gateway = setup.start();
     let mut client = send_gated_request(&gateway);
-    eventually("the server receives the attempt", || server.count() == 1);
+    eventually("the server receives the attempt", || server.request_count() == 1);
     gateway.terminate();
     let mut new_client = gateway.client();
     assert_eq!(new_client.get_idempotent().status(), 200);
@@ -168,7 +168,7 @@
     let clients: Vec<_> = (0..40u64)
         .map(|i| send_until_closed(&gateway, format!("k{i}"), Duration::from_millis(7 * i + 1)))
         .collect();
-    eventually("the server receives more than 60 requests", || server.count() > 60);
+    eventually("the server receives more than 60 requests", || server.request_count() > 60);
     let start = Instant::now();
     gateway.terminate();
     // New connections continue to arrive for a while, and each request on them must get a response.
@@ -202,7 +202,7 @@
     let mut gateway = setup.start();
     // A request in flight keeps the shutdown from ending.
     let mut in_flight = send_gated_request(&gateway);
-    eventually("the server receives the attempt", || server.count() == 1);
+    eventually("the server receives the attempt", || server.request_count() == 1);
     gateway.terminate();
     std::thread::sleep(Duration::from_millis(300));
     let start = Instant::now();
@@ -232,7 +232,7 @@
     let mut stalled = client_with_small_buffer(&gateway);
     stalled.send("POST", "once", "X-Time-Left: 1.9\r\n", b"{}");
     let mut other = send_gated_request(&gateway);
-    eventually("the server receives both attempts", || server.count() == 2);
+    eventually("the server receives both attempts", || server.request_count() == 2);
     gateway.terminate();
     gate.open();
     let response = other.read().expect("no response");
@@ -263,7 +263,7 @@
         .stream
         .write_all((first + &named_request("a") + &named_request("b")).as_bytes())
         .expect("send failed");
-    eventually("the server receives the attempt", || server.count() == 1);
+    eventually("the server receives the attempt", || server.request_count() == 1);
     let more: String = (0..60).map(|i| named_request(&format!("m{i}"))).collect();
     client.stream.write_all(more.as_bytes()).expect("send failed");
     begin_shutdown(&gateway);
@@ -290,7 +290,7 @@
     let mut gateway = setup.start();
     let mut client = client_with_small_buffer(&gateway);
     client.send("POST", "long", GATED_REQUEST_TIME_LEFT, b"{}");
-    eventually("the server receives the attempt", || server.count() == 1);
+    eventually("the server receives the attempt", || server.request_count() == 1);
     begin_shutdown(&gateway);
     gate.open();
     // The response that announces the close has begun to arrive.
--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -46,7 +46,7 @@
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     clients.iter_mut().for_each(|client| client.send("POST", "long", "X-Time-Left: 20\r\n", b"{}"));
     gateway.signal("-CONT");
-    eventually("the server receives the first eight attempts", || server.count() >= 8);
+    eventually("the server receives the first eight attempts", || server.request_count() >= 8);
     let during_burst = descriptors(&gateway);
     assert!(during_burst <= before + 8 + 8, "{during_burst} descriptors during the burst, {before} before");
     gate.open();
@@ -258,14 +258,18 @@
         connected_count.load(Ordering::SeqCst) > MIN_SOCKETS
     });
     // The gateway still serves a client with a request, and uses the new list for it.
-    let before = server.count();
+    let before = server.request_count();
     eventually("the gateway responds with status 200", || {
         let mut client = gateway.client();
         client.send("GET", "look", "X-Time-Left: 2.0\r\n", b"");
         client.read().is_some_and(|response| response.status() == 200)
     });
-    assert_eq!(server.count(), before, "a request was sent to a server that the new list does not contain");
-    assert!(new_server.count() > 0, "no request was sent to the server of the new list");
+    assert_eq!(
+        server.request_count(),
+        before,
+        "a request was sent to a server that the new list does not contain"
+    );
+    assert!(new_server.request_count() > 0, "no request was sent to the server of the new list");
     assert!(descriptors(gateway) <= MIN_SOCKETS, "the gateway has more descriptors than the limit");
     drop((idle, connecting.join().expect("the thread that connects clients panicked")));
 }
@@ -287,13 +291,15 @@
     // Clients get half of the remaining descriptors. The other half is for connections to servers, one for
     // each request.
     let max_clients = (MIN_SOCKETS - RESERVED_DESCRIPTORS) / 2;
-    eventually("the server receives an attempt for each accepted request", || server.count() >= max_clients);
-    assert_eq!(server.count(), max_clients, "the gateway accepted more clients than their share");
+    eventually("the server receives an attempt for each accepted request", || {
+        server.request_count() >= max_clients
+    });
+    assert_eq!(server.request_count(), max_clients, "the gateway accepted more clients than their share");
     at_limit.move_to_new_peers();
     assert!(descriptors(gateway) <= MIN_SOCKETS, "the gateway has more descriptors than the limit");
     gate.open();
     for client in &mut clients {
         assert_eq!(client.read().map(|response| response.status()), Some(200));
     }
-    assert!(new_server.count() > 0, "no request was sent to the server of the new list");
+    assert!(new_server.request_count() > 0, "no request was sent to the server of the new list");
 }
--- a/tests/settings_variety.rs
+++ b/tests/settings_variety.rs
@@ -110,7 +110,7 @@
                 served += 1;
             }
         }
-        assert_eq!(server.count(), served, "{what}: each is forwarded once");
+        assert_eq!(server.request_count(), served, "{what}: each is forwarded once");
         // Classes and plans of other deployments are unknown here.
         let unknown =
             [("look", "c", 404), ("fetch-count", "c", 404), ("a", "team", 400), ("a", "lokal", 400)];
@@ -155,7 +155,7 @@
     let text = request("quarterly-report.v2", true, "c", "1", "once");
     let status = gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status());
     assert_eq!(
-        (status, dies.count(), ok.count()),
+        (status, dies.request_count(), ok.request_count()),
         (Some(502), 1, 0),
         "may have been executed: failed, not rejected"
     );
@@ -171,7 +171,7 @@
         let text = request("a", false, "c", "1", "again");
         gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status()) == Some(200)
     });
-    assert_eq!(dies.count(), 1);
+    assert_eq!(dies.request_count(), 1);
 }
 
 /// A deployment hands over a file that cannot be used. The process has to end and say why: one that stayed up
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -82,7 +82,7 @@
     }
 
     /// Number of requests that were received.
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.lock().expect("lock poisoned").len()
     }
 }
--- a/tests/upstream_attempts.rs
+++ b/tests/upstream_attempts.rs
@@ -113,7 +113,7 @@
     let (bytes_received, _closed) = unreachable.accept_and_count();
     assert_eq!(gateway.client().get_idempotent().status(), 200);
     assert_eq!(
-        (bytes_received.load(Ordering::SeqCst), ok.count()),
+        (bytes_received.load(Ordering::SeqCst), ok.request_count()),
         (0, 7),
         "bytes sent to the unreachable server, requests sent to the other server"
     );
