--- a/tests/resource_limits.rs
+++ b/tests/resource_limits.rs
@@ -99,7 +99,7 @@
         });
         memory_levels.push(memory(&gateway));
     }
-    // The first round allocates the buffers; later rounds must add nothing.
+    // The first round allocates buffers, so the memory is compared with its level after that round.
     let (first, last) = (memory_levels[0], memory_levels[memory_levels.len() - 1]);
     assert!(
         last < first + MAX_MEMORY_GROWTH,
