--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -95,7 +95,7 @@
     /// Seed of the decision module's random numbers.
     pub seed: u64,
     /// The endpoint list as this gateway last had it, as it stands in the file.
-    pub known: Option<Box<RawValue>>,
+    pub cached_endpoints_json: Option<Box<RawValue>>,
     /// What the platform allows.
     pub limits: Limits,
     /// Settings of the decision module.
@@ -103,7 +103,7 @@
     /// Names of classes, plans and zones.
     pub names: Names,
     /// A server closes a connection that was idle this long, ms.
-    pub conn_idle: f64,
+    pub server_idle_timeout: f64,
     /// A connection that is not open within this, ms, has failed.
     pub connect_timeout: f64,
     /// From this long after the notification of its drain, ms, no new request may reach an endpoint.
@@ -122,8 +122,8 @@
 
     /// The endpoint list as this gateway last had it. It may be old and is only where to begin: without it,
     /// or where it cannot be decoded, discovery sends a complete one.
-    pub fn known(&self) -> Option<EndpointList<'_>> {
-        serde_json::from_str(self.known.as_ref()?.get()).ok()
+    pub fn cached_endpoints(&self) -> Option<EndpointList<'_>> {
+        serde_json::from_str(self.cached_endpoints_json.as_ref()?.get()).ok()
     }
 
     /// Reads the text of a configuration.
@@ -137,7 +137,7 @@
         Ok(Config {
             settings: read_settings(&values).map_err(ConfigError::Settings)?,
             names: Names::from_json(&file.settings),
-            conn_idle: span("ceilings", "conn_idle", DEFAULT_CONN_IDLE_MS),
+            server_idle_timeout: span("ceilings", "conn_idle", DEFAULT_CONN_IDLE_MS),
             connect_timeout: span("ceilings", "connect_timeout", DEFAULT_CONNECT_TIMEOUT_MS),
             drain_grace: span("safety", "drain_grace", DEFAULT_DRAIN_GRACE_MS),
             name: file.name,
@@ -145,7 +145,7 @@
             discovery: file.discovery,
             counter: file.counter,
             seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| hash_seed(&file.seed)),
-            known: file.known,
+            cached_endpoints_json: file.known,
             limits: file.limits,
         })
     }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -115,13 +115,13 @@
             timers: TimerQueue::default(),
             ready: Cell::new(false),
             pool: ConnectionPool::new(PoolSettings {
-                server_idle_timeout: config.conn_idle,
+                server_idle_timeout: config.server_idle_timeout,
                 connect_timeout: config.connect_timeout,
                 max_connections: max_upstream_connections,
             }),
             counter: Rc::new(CounterClient::new(config.counter, counter_call_timeout)),
         });
-        if let Some(known) = config.known() {
+        if let Some(known) = config.cached_endpoints() {
             event_loop.update_endpoints(&known, EndpointUpdate::Cached);
         }
         event_loop.timers.arm(event_loop.now() + CONNECTION_CHECK_INTERVAL, TimerKind::ConnectionCheck);
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -126,7 +126,7 @@
 }
 
 fn start_discovery(config: &Config, event_loop: &Rc<EventLoop>) -> WatcherHandle<SocketAddr> {
-    let known_revision = config.known().map(|list| list.revision);
+    let known_revision = config.cached_endpoints().map(|list| list.revision);
     let limits = WatcherLimits {
         drain_grace: event_loop.drain_grace(),
         max_object_bytes: max_object_bytes(config.limits.memory_mb),
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -15,13 +15,13 @@
 
 /// The gateways of one process, by instance number.
 #[derive(Default)]
-pub struct Host {
+pub struct GatewayHost {
     gateways: HashMap<u32, Gateway>,
     /// Actions of the current event; reused to save an allocation.
     actions: Vec<Action>,
 }
 
-impl Host {
+impl GatewayHost {
     /// Answers frames until the input ends between two of them.
     ///
     /// # Errors
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -2,7 +2,7 @@
 //! nothing.
 //!
 //! `layout` has the codes and byte positions of the records, `frame` reads and writes fields, `event_decoder`
-//! and `action_encoder` translate, and [`Host`] runs the gateways.
+//! and `action_encoder` translate, and [`GatewayHost`] runs the gateways.
 
 mod action_encoder;
 mod error;
@@ -12,4 +12,4 @@
 mod layout;
 
 pub use error::FrameError;
-pub use host::Host;
+pub use host::GatewayHost;
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -5,7 +5,7 @@
 mod frames;
 
 use frames::{event_code, frame, record};
-use rate_limiting_gateway::{config::parse_settings, simulator::Host};
+use rate_limiting_gateway::{config::parse_settings, simulator::GatewayHost};
 
 /// A code that no event has.
 const UNKNOWN_CODE: u16 = 7;
@@ -46,7 +46,7 @@
 
 fn run(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
     let mut output = Vec::new();
-    let result = Host::default().run(input, &mut output).map_err(|e| e.to_string());
+    let result = GatewayHost::default().run(input, &mut output).map_err(|e| e.to_string());
     (result, output)
 }
 
@@ -128,7 +128,7 @@
         input
     };
     let (one, two) = (run(&script(1)).1, run(&script(2)).1);
-    let mut host = Host::default();
+    let mut host = GatewayHost::default();
     let mut together: [Vec<u8>; 2] = Default::default();
     for instance in [1u32, 2] {
         together[instance as usize - 1].extend(host.answer(&start_frame(instance, SETTINGS)).unwrap());
--- a/tests/support/action_world.rs
+++ b/tests/support/action_world.rs
@@ -5,7 +5,7 @@
 use super::frames::{event_code, frame, record};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use rate_limiting_gateway::simulator::Host;
+use rate_limiting_gateway::simulator::GatewayHost;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -136,7 +136,7 @@
 /// The simulated environment and its gateways.
 pub struct World<'a> {
     scenario: &'a Scenario,
-    host: Host,
+    host: GatewayHost,
     rng: Pcg64Mcg,
     now: f64,
     /// Scheduled events by their sequence numbers.
@@ -171,7 +171,7 @@
         let server = Server { state: READY, started: 0.0, in_flight: 0.0, faulty_until: 0.0 };
         World {
             scenario,
-            host: Host::default(),
+            host: GatewayHost::default(),
             rng: Pcg64Mcg::seed_from_u64(scenario.seed),
             now: START,
             scheduled: BTreeMap::new(),
