--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,38 +1,38 @@
-//! Why a configuration or its settings cannot be used.
+//! Errors of the configuration file and its settings.
 
 use std::error::Error;
 use std::fmt::{Display, Formatter};
 
-/// Why settings cannot be used. `key` is the setting's path, such as `classes.0.deadline`.
+/// The reason why settings are invalid. `key` is the path of a setting, such as `classes.0.deadline`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsError {
-    /// A setting without a default is absent.
+    /// A required setting is missing.
     Missing {
-        /// The setting.
+        /// Path of the setting.
         key: String,
     },
-    /// A value that has to be a number is none.
+    /// The value of a numeric setting is not a number.
     NotANumber {
-        /// The setting.
+        /// Path of the setting.
         key: String,
     },
-    /// A number that is infinite or NaN.
+    /// The value of a numeric setting is infinite or NaN.
     NotFinite {
-        /// The setting.
+        /// Path of the setting.
         key: String,
     },
-    /// The length of a list is no whole number, or more than there are settings.
+    /// The length of a list is negative, not a whole number, or larger than the number of settings.
     InvalidCount {
-        /// The setting.
+        /// Path of the setting that holds the length.
         key: String,
-        /// Its value.
+        /// The invalid length.
         count: f64,
     },
-    /// A value that is none of those agreed on.
+    /// The value of a setting is missing or is not one of the allowed values.
     UnknownValue {
-        /// The setting.
+        /// Path of the setting.
         key: String,
-        /// Its value; `None` where it is absent.
+        /// The value; `None` if it is missing.
         value: Option<String>,
     },
 }
@@ -53,14 +53,14 @@
 
 impl Error for SettingsError {}
 
-/// Why a gateway cannot start from its configuration.
+/// The reason why a configuration file cannot be used.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The file of this path cannot be read.
+    /// The file at this path cannot be read.
     Unreadable(String, std::io::Error),
-    /// The file is not JSON of the agreed form.
+    /// The file is not valid JSON, or lacks a required field, or has a field of the wrong type.
     Malformed(serde_json::Error),
-    /// Its settings cannot be used.
+    /// The settings in the file are invalid.
     Settings(SettingsError),
 }
 
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,4 +1,4 @@
-//! Reads the file that `PROXY_CONFIG` names.
+//! Reads the configuration file, whose path is in the environment variable `PROXY_CONFIG`.
 
 use super::error::ConfigError;
 use super::key_values::KeyValues;
@@ -10,16 +10,19 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Longer spans of the settings count as this, ms: a day.
-const MAX_SPAN_MS: f64 = 86_400_000.0;
-/// Defaults of the spans that only the sockets need, ms.
-const DEFAULT_CONN_IDLE_MS: f64 = 15_000.0;
+/// Upper limit of the durations that [`duration_ms`] reads, ms: one day. Longer durations are reduced to it,
+/// since `Duration::from_secs_f64` panics on a value such as 1e300.
+const MAX_DURATION_MS: f64 = 86_400_000.0;
+/// Default of [`Config::server_idle_timeout`], ms.
+const DEFAULT_SERVER_IDLE_TIMEOUT_MS: f64 = 15_000.0;
+/// Default of [`Config::connect_timeout`], ms.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
+/// Default of [`Config::drain_grace`], ms.
 const DEFAULT_DRAIN_GRACE_MS: f64 = 1000.0;
 
-/// The file as it stands.
+/// The fields of the configuration file.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -33,13 +36,13 @@
     settings: Value,
 }
 
-/// What the platform allows the process.
+/// Resource limits that the platform sets for the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// File descriptors, sockets of all kinds among them.
+    /// Maximum number of open file descriptors, which includes all sockets.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// Memory, MB.
+    /// Maximum memory, MB.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
 }
@@ -58,15 +61,15 @@
     }
 }
 
-/// Names that clients and discovery use, each at the index that the decision module uses. A name that is no
-/// string is empty.
+/// The names that clients and discovery use for classes, plans and zones. The index of a name is the id that
+/// the policy uses. A name that is not a string in the file is read as an empty one.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Classes of requests.
+    /// The names of the request classes.
     pub classes: Vec<String>,
-    /// Plans of tenants.
+    /// The names of the tenants' plans.
     pub plans: Vec<String>,
-    /// Zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
 }
 
@@ -82,64 +85,65 @@
     }
 }
 
-/// Everything that a gateway starts with.
+/// The configuration of a gateway.
 pub struct Config {
-    /// The gateway's name, for the log.
+    /// The gateway's name, which the log shows.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the gateway accepts clients.
     pub listen: SocketAddr,
-    /// The discovery agent.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The counter service, if there is one.
+    /// The address of the counter service, if there is one.
     pub counter: Option<SocketAddr>,
-    /// Seed of the decision module's random numbers.
+    /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// The endpoint list as this gateway last had it, as it stands in the file.
+    /// The JSON text of the endpoint list that this gateway used last.
     pub cached_endpoints_json: Option<Box<RawValue>>,
-    /// What the platform allows.
+    /// Resource limits that the platform sets.
     pub limits: Limits,
-    /// Settings of the decision module.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// Names of classes, plans and zones.
+    /// The names of classes, plans and zones.
     pub names: Names,
-    /// A server closes a connection that was idle this long, ms.
+    /// Idle time after which the servers close a connection, ms.
     pub server_idle_timeout: f64,
-    /// A connection that is not open within this, ms, has failed.
+    /// Time within which a connection to a server must open, ms. After it, the connection has failed.
     pub connect_timeout: f64,
-    /// From this long after the notification of its drain, ms, no new request may reach an endpoint.
+    /// Time for which new requests may still reach a server after discovery reports that it is draining, ms.
     pub drain_grace: f64,
 }
 
 impl Config {
-    /// Reads the file at `path`.
+    /// Reads the configuration file at `path`.
     ///
     /// # Errors
-    /// When the file cannot be read or does not hold what a gateway needs.
+    /// Returns an error if the file cannot be read or its content is invalid.
     pub fn load(path: &str) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Unreadable(path.into(), e))?;
         Config::parse(&text)
     }
 
-    /// The endpoint list as this gateway last had it. It may be old and is only where to begin: without it,
-    /// or where it cannot be decoded, discovery sends a complete one.
+    /// The endpoint list that this gateway used last and now starts with. It may be stale. Returns `None` if
+    /// the list is missing or cannot be decoded; discovery then sends a complete one.
     pub fn cached_endpoints(&self) -> Option<EndpointList<'_>> {
         serde_json::from_str(self.cached_endpoints_json.as_ref()?.get()).ok()
     }
 
-    /// Reads the text of a configuration.
+    /// Reads a configuration from the text of its file.
     ///
     /// # Errors
-    /// When it does not hold what a gateway needs.
+    /// Returns an error if the text is not JSON with the required fields, or if the settings are invalid.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
-        let file: File = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
+        let file: ConfigFile = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let values = KeyValues::from_json(&file.settings);
-        let span = |section: &str, key: &str, default_ms| span_ms(&file.settings[section][key], default_ms);
+        let duration =
+            |section: &str, key: &str, default_ms| duration_ms(&file.settings[section][key], default_ms);
         Ok(Config {
             settings: read_settings(&values).map_err(ConfigError::Settings)?,
             names: Names::from_json(&file.settings),
-            server_idle_timeout: span("ceilings", "conn_idle", DEFAULT_CONN_IDLE_MS),
-            connect_timeout: span("ceilings", "connect_timeout", DEFAULT_CONNECT_TIMEOUT_MS),
-            drain_grace: span("safety", "drain_grace", DEFAULT_DRAIN_GRACE_MS),
+            server_idle_timeout: duration("ceilings", "conn_idle", DEFAULT_SERVER_IDLE_TIMEOUT_MS),
+            connect_timeout: duration("ceilings", "connect_timeout", DEFAULT_CONNECT_TIMEOUT_MS),
+            drain_grace: duration("safety", "drain_grace", DEFAULT_DRAIN_GRACE_MS),
             name: file.name,
             listen: file.listen,
             discovery: file.discovery,
@@ -151,12 +155,15 @@
     }
 }
 
-/// A span, ms; the default where it is absent, no JSON number or not positive.
-fn span_ms(value: &Value, default_ms: f64) -> f64 {
-    value.as_f64().filter(|span| *span > 0.0).map_or(default_ms, |span| span.min(MAX_SPAN_MS))
+/// Reads a duration, ms. Returns the default if the value is missing, not a JSON number or not positive.
+fn duration_ms(value: &Value, default_ms: f64) -> f64 {
+    value
+        .as_f64()
+        .filter(|duration| *duration > 0.0)
+        .map_or(default_ms, |duration| duration.min(MAX_DURATION_MS))
 }
 
-/// The seed for a text that is no hexadecimal number: its FNV-1a hash.
+/// Derives the seed from a text that is not a 64-bit hexadecimal number, by its FNV-1a hash.
 fn hash_seed(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/src/config/key_values.rs
+++ b/src/config/key_values.rs
@@ -1,24 +1,25 @@
-//! Settings as values under dotted paths, such as `classes.0.deadline`, with typed look-ups.
+//! Settings as texts under dotted paths, such as `classes.0.deadline`, and their conversion to numbers and
+//! flags.
 
 use super::error::SettingsError;
 use serde_json::Value;
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// Settings by their dotted paths. A list of objects has its length under `.count` and its items under `.0`,
-/// `.1` and so on; a list of plain values is one value, joined by commas. Where a path occurs twice, the last
-/// one counts.
+/// The values of settings by their dotted paths. A list of objects has its length under `.count` and its
+/// items under `.0`, `.1` and so on. A list of scalars is one value, joined by commas. If a path occurs more
+/// than once, the last value is used.
 #[derive(Debug, Default)]
 pub(super) struct KeyValues<'a>(HashMap<Cow<'a, str>, Cow<'a, str>>);
 
 impl<'a> KeyValues<'a> {
-    /// Reads `path=value` lines; lines without `=` are skipped.
+    /// Reads `path=value` lines. Lines without `=` are skipped.
     pub fn from_text(text: &'a str) -> Self {
         let pairs = text.lines().filter_map(|line| line.split_once('='));
         KeyValues(pairs.map(|(key, value)| (key.trim().into(), value.trim().into())).collect())
     }
 
-    /// Takes in nested JSON.
+    /// Flattens nested JSON.
     pub fn from_json(settings: &Value) -> KeyValues<'static> {
         let mut values = KeyValues::default();
         values.insert_json("", settings);
@@ -30,19 +31,19 @@
     fn insert_json(&mut self, path: &str, value: &Value) {
         match value {
             Value::Object(fields) => {
-                fields.iter().for_each(|(key, field)| self.insert_json(&join(path, key), field));
+                fields.iter().for_each(|(key, field)| self.insert_json(&join_path(path, key), field));
             }
             Value::Array(items) if items.is_empty() || items.iter().any(Value::is_object) => {
-                self.insert(&join(path, "count"), items.len().to_string());
+                self.insert(&join_path(path, "count"), items.len().to_string());
                 for (index, item) in items.iter().enumerate() {
-                    self.insert_json(&join(path, &index.to_string()), item);
+                    self.insert_json(&join_path(path, &index.to_string()), item);
                 }
             }
             Value::Array(items) => {
-                let plain: Vec<String> = items.iter().map(plain_text).collect();
-                self.insert(path, plain.join(","));
+                let texts: Vec<String> = items.iter().map(scalar_to_text).collect();
+                self.insert(path, texts.join(","));
             }
-            plain => self.insert(path, plain_text(plain)),
+            scalar => self.insert(path, scalar_to_text(scalar)),
         }
     }
 
@@ -52,15 +53,15 @@
 }
 
 impl KeyValues<'_> {
-    /// A value as it stands; `None` where it is absent.
+    /// Returns the text of a setting, or `None` if it is missing.
     pub fn text(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(AsRef::as_ref)
     }
 
-    /// A number, or `default` where it is absent.
+    /// Returns the number that a setting holds, or `default` if the setting is missing.
     ///
     /// # Errors
-    /// When the value is no number, or not finite.
+    /// Returns an error if the value is not a number or not finite.
     pub fn number(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         let Some(text) = self.text(key) else { return Ok(default) };
         let value: f64 =
@@ -71,10 +72,10 @@
         Ok(value)
     }
 
-    /// A number that has no default.
+    /// Returns the number that a required setting holds.
     ///
     /// # Errors
-    /// When the value is absent, no number or not finite.
+    /// Returns an error if the setting is missing, not a number or not finite.
     pub fn required_number(&self, key: &str) -> Result<f64, SettingsError> {
         if self.text(key).is_none() {
             return Err(SettingsError::Missing { key: key.to_owned() });
@@ -82,16 +83,16 @@
         self.number(key, 0.0)
     }
 
-    /// A flag: set by `true` or `1`, and by nothing else.
+    /// Whether the value of a setting is `true` or `1`. Any other value is false, and so is a missing one.
     pub fn flag(&self, key: &str) -> bool {
         matches!(self.text(key).map(str::trim), Some("true" | "1"))
     }
 
-    /// The length of a list of objects. Bounded by the number of settings: a length out of nowhere would make
-    /// the reader allocate items that nobody has sent.
+    /// Returns the length of a list of objects. The length may not exceed the number of settings: otherwise a
+    /// wrong length would make the reader allocate items that the settings do not contain.
     ///
     /// # Errors
-    /// When the value is absent, no whole number or over that bound.
+    /// Returns an error if the length is missing, negative, not a whole number or over that limit.
     pub fn count(&self, key: &str) -> Result<usize, SettingsError> {
         let count = self.required_number(key)?;
         if count < 0.0 || count.fract() != 0.0 || count > self.0.len() as f64 {
@@ -101,7 +102,7 @@
     }
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_owned()
     } else {
@@ -109,8 +110,9 @@
     }
 }
 
-/// A plain value as the simulator writes it: blanks and commas become `_`, as they would end the value there.
-fn plain_text(value: &Value) -> String {
+/// Converts a scalar to the text that the simulator writes for it. Whitespace and commas become `_`, since
+/// they would end the value in the simulator's text.
+fn scalar_to_text(value: &Value) -> String {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
     text.replace(|c: char| c.is_whitespace() || c == ',', "_")
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,10 @@
-//! Reads the settings of a gateway: [`Config`] from the file that `PROXY_CONFIG` names, and
-//! [`parse_settings`] from the text that the simulator hands to an instance.
+//! Reads the settings of a gateway. [`Config`] reads them from the configuration file, whose path is in the
+//! environment variable `PROXY_CONFIG`; [`parse_settings`] reads them from the text that the simulator sends
+//! to an instance.
 //!
-//! Both forms become values under dotted paths (`key_values`), from which `settings_reader` fills the one
-//! [`Settings`](crate::settings::Settings). The keys of the deployment's pages occur there and in `file`
-//! only.
+//! `key_values` converts both formats to values under dotted paths, and `settings_reader` builds the
+//! [`Settings`](crate::settings::Settings) from them. Only `settings_reader` and `file` contain the external
+//! names of the settings.
 
 mod error;
 mod file;
--- a/src/config/settings_reader.rs
+++ b/src/config/settings_reader.rs
@@ -1,13 +1,13 @@
-//! Fills [`Settings`] from the keys of the deployment's pages. Keys that are not read here are ignored.
+//! Builds [`Settings`] from values under the external names of the settings. Unknown names are ignored.
 
 use super::error::SettingsError;
 use super::key_values::KeyValues;
 use crate::settings::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 
-/// Reads the `path=value` lines that the simulator hands to an instance.
+/// Reads the settings from the `path=value` lines that the simulator sends to an instance.
 ///
 /// # Errors
-/// When a setting without a default is absent, or a value cannot be read.
+/// Returns an error if a required setting is missing or a value is invalid.
 pub fn parse_settings(text: &str) -> Result<Settings, SettingsError> {
     read_settings(&KeyValues::from_text(text))
 }
@@ -15,7 +15,7 @@
 /// Reads all settings.
 ///
 /// # Errors
-/// When a setting without a default is absent, or a value cannot be read.
+/// Returns an error if a required setting is missing or a value is invalid.
 pub(super) fn read_settings(values: &KeyValues<'_>) -> Result<Settings, SettingsError> {
     Ok(Settings {
         classes: read_classes(values)?,
@@ -55,7 +55,7 @@
     match values.text(&key) {
         Some("free") => Ok(Idempotency::Idempotent),
         Some("guarded") => Ok(Idempotency::IdempotencyKey {
-            scope: read_scope(values, path)?,
+            scope: read_deduplication_scope(values, path)?,
             window: values.number(&format!("{path}.repeat_window"), 0.0)?,
         }),
         Some("single_shot") => Ok(Idempotency::NonIdempotent),
@@ -63,7 +63,7 @@
     }
 }
 
-fn read_scope(values: &KeyValues<'_>, path: &str) -> Result<DeduplicationScope, SettingsError> {
+fn read_deduplication_scope(values: &KeyValues<'_>, path: &str) -> Result<DeduplicationScope, SettingsError> {
     let key = format!("{path}.group");
     match values.text(&key) {
         Some("all") => Ok(DeduplicationScope::All),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Plans may be absent altogether.
+/// Reads the plans. Without `plans.count`, there are none.
 fn read_plans(values: &KeyValues<'_>) -> Result<Vec<Plan>, SettingsError> {
     if values.text("plans.count").is_none() {
         return Ok(Vec::new());
--- a/tests/unit/key_values.rs
+++ b/tests/unit/key_values.rs
@@ -1,10 +1,10 @@
-//! Nested settings as values under dotted paths.
+//! Tests of the conversion of nested JSON settings to values under dotted paths.
 
 use super::KeyValues;
 use serde_json::json;
 
 #[test]
-fn nested_settings_become_the_pairs_of_the_wire() {
+fn nested_json_becomes_the_pairs_that_the_simulator_sends() {
     let values = KeyValues::from_json(&json!({
         "balancers": 3, "discovery": "pushed", "areas": ["a b", "c"],
         "classes": [{"name": "x", "deadline": 4000.0}], "safety": {"warm_after": 16000.0}, "plans": []
