--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,5 +1,5 @@
-//! Runs gateways for the simulator: frames come on standard input, replies go to standard output. Ends with
-//! the input; input that violates the protocol ends it with an error.
+//! Runs gateways for the simulator: reads frames from standard input and writes replies to standard output.
+//! The process exits when the input ends, and exits with an error if the input violates the protocol.
 
 use rate_limiting_gateway::simulator::GatewayHost;
 use std::io::{stdin, stdout, BufWriter};
--- a/src/simulator/action_encoder.rs
+++ b/src/simulator/action_encoder.rs
@@ -1,4 +1,4 @@
-//! Encodes action records.
+//! Encodes actions as records of the simulator's protocol.
 
 use super::frame::ActionRecord;
 use super::layout::action::{
@@ -6,7 +6,7 @@
 };
 use crate::action::Action;
 
-/// The record of an action of an instance.
+/// Encodes an action of an instance as a record.
 pub(super) fn encode(instance: u32, action: &Action) -> ActionRecord {
     let record = |code| ActionRecord::new(code, instance);
     match *action {
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -4,107 +4,108 @@
 use std::error::Error;
 use std::fmt::{Display, Formatter};
 
-/// Why the input violates the simulator's protocol, or cannot be read or answered.
+/// The reason why the adapter cannot read or answer the simulator's input.
 #[derive(Debug)]
 pub enum FrameError {
-    /// Reading or writing has failed.
+    /// Reading from or writing to a stream failed.
     Io {
-        /// What was read or written.
+        /// Name of the stream.
         stream: &'static str,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A fault of one frame.
+    /// A frame is invalid.
     InFrame {
         /// Number of the frame, from 0.
         frame: u64,
-        /// The fault.
+        /// The reason.
         source: Box<FrameError>,
     },
-    /// A fault of one event record.
+    /// An event record is invalid.
     InRecord {
         /// Number of the record in its frame, from 0.
         record: usize,
-        /// The fault.
+        /// The reason.
         source: Box<FrameError>,
     },
-    /// The input has ended within a frame's length.
+    /// The input ended within the length field of a frame.
     TruncatedLength,
-    /// The input has ended within a frame.
-    Truncated {
-        /// Bytes that came.
+    /// The input ended within a frame.
+    TruncatedFrame {
+        /// Number of bytes received.
         received: usize,
-        /// The frame's length, bytes.
+        /// Length of the frame, bytes.
         length: usize,
     },
-    /// A frame's length is shorter than its header.
+    /// The length of a frame is less than the length of the frame header.
     ShorterThanHeader {
-        /// The length, bytes.
+        /// Length of the frame, bytes.
         length: usize,
     },
-    /// More event records than the frame has room for.
+    /// The frame is too short for the number of event records that its header states.
     TooManyRecords {
-        /// Their number by the header.
+        /// Number of records in the header.
         count: usize,
     },
-    /// A field lies outside of its bytes.
-    FieldOutside {
-        /// What the bytes are.
+    /// A field extends past the end of its section.
+    FieldOutOfBounds {
+        /// Name of the section: a header, a record or the tail.
         section: &'static str,
-        /// Where the field begins.
+        /// Offset of the field in the section, bytes.
         offset: usize,
-        /// Bytes of the field.
+        /// Size of the field, bytes.
         size: usize,
     },
     /// A number is infinite or NaN.
     NotFinite {
-        /// What the bytes are.
+        /// Name of the section that contains the number.
         section: &'static str,
-        /// Where the number begins.
+        /// Offset of the number in the section, bytes.
         offset: usize,
     },
-    /// Items lie outside of the tail.
-    ItemsOutside {
-        /// What the bytes are.
+    /// A list of items extends past the end of its section.
+    ItemsOutOfBounds {
+        /// Name of the section.
         section: &'static str,
         /// Number of items.
         count: u32,
-        /// Bytes of an item.
+        /// Size of one item, bytes.
         size: usize,
-        /// Where the first begins.
+        /// Offset of the first item in the section, bytes.
         offset: usize,
     },
     /// The settings of an instance are not UTF-8.
     SettingsNotUtf8,
-    /// The settings of an instance cannot be used.
+    /// The settings of an instance are invalid.
     Settings(SettingsError),
-    /// An event for an instance that was not started.
+    /// An event is addressed to an instance that is not running.
     UnknownInstance {
-        /// The event's code.
+        /// Code of the event.
         code: u16,
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
     },
-    /// An event of unknown kind.
+    /// The code of an event is unknown.
     UnknownEvent(u16),
-    /// An endpoint list of unknown kind.
-    UnknownUpdate(u8),
-    /// A server in an unknown state.
-    UnknownState(u8),
-    /// An unknown outcome.
+    /// The kind of an endpoint update is unknown.
+    UnknownEndpointUpdate(u8),
+    /// The state of an endpoint is unknown.
+    UnknownEndpointState(u8),
+    /// The outcome of an attempt, a health check or a counter call is unknown.
     UnknownOutcome(u8),
 }
 
 impl FrameError {
-    /// The same fault, with the number of its frame. A failure to read or write is no fault of the frame.
+    /// Adds the number of the invalid frame. I/O errors are returned unchanged, since the frame did not cause
+    /// them.
     pub(super) fn in_frame(self, frame: u64) -> Self {
         match self {
             FrameError::Io { .. } => self,
-            fault => FrameError::InFrame { frame, source: Box::new(fault) },
+            error => FrameError::InFrame { frame, source: Box::new(error) },
         }
     }
 
-    /// The same fault, with the number of its record.
+    /// Adds the number of the invalid record.
     pub(super) fn in_record(self, record: usize) -> Self {
         FrameError::InRecord { record, source: Box::new(self) }
     }
@@ -113,34 +114,36 @@
 impl Display for FrameError {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
-            FrameError::Io { stream, source } => write!(f, "{stream}: {source}"),
+            FrameError::Io { stream, source } => write!(f, "I/O error on {stream}: {source}"),
             FrameError::InFrame { frame, source } => write!(f, "frame {frame}: {source}"),
             FrameError::InRecord { record, source } => write!(f, "record {record}: {source}"),
-            FrameError::TruncatedLength => f.write_str("cut short in its length"),
-            FrameError::Truncated { received, length } => {
-                write!(f, "cut short, {received} of {length} bytes")
+            FrameError::TruncatedLength => f.write_str("input ended within the frame length"),
+            FrameError::TruncatedFrame { received, length } => {
+                write!(f, "input ended within the frame, after {received} of {length} bytes")
             }
             FrameError::ShorterThanHeader { length } => {
-                write!(f, "length {length} is shorter than a header")
+                write!(f, "frame length {length} is shorter than a header")
             }
-            FrameError::TooManyRecords { count } => write!(f, "header: {count} records do not fit"),
-            FrameError::FieldOutside { section, offset, size } => {
-                write!(f, "{section}: {size} bytes at {offset} lie outside")
+            FrameError::TooManyRecords { count } => {
+                write!(f, "header: {count} event records do not fit into the frame")
+            }
+            FrameError::FieldOutOfBounds { section, offset, size } => {
+                write!(f, "{section}: field of {size} bytes at {offset} extends past the end")
             }
             FrameError::NotFinite { section, offset } => {
                 write!(f, "{section}: number at {offset} is not finite")
             }
-            FrameError::ItemsOutside { section, count, size, offset } => {
-                write!(f, "{section}: {count} items of {size} bytes from {offset} reach past the tail")
+            FrameError::ItemsOutOfBounds { section, count, size, offset } => {
+                write!(f, "{section}: {count} items of {size} bytes at {offset} extend past the end")
             }
-            FrameError::SettingsNotUtf8 => f.write_str("settings: not UTF-8"),
+            FrameError::SettingsNotUtf8 => f.write_str("settings are not valid UTF-8"),
             FrameError::Settings(error) => error.fmt(f),
             FrameError::UnknownInstance { code, instance } => {
-                write!(f, "event {code} for instance {instance}, which was never provisioned")
+                write!(f, "event {code} for instance {instance}, which is not running")
             }
             FrameError::UnknownEvent(code) => write!(f, "unknown event code {code}"),
-            FrameError::UnknownUpdate(kind) => write!(f, "list of unknown kind {kind}"),
-            FrameError::UnknownState(state) => write!(f, "server in unknown state {state}"),
+            FrameError::UnknownEndpointUpdate(kind) => write!(f, "unknown kind of endpoint update {kind}"),
+            FrameError::UnknownEndpointState(state) => write!(f, "unknown endpoint state {state}"),
             FrameError::UnknownOutcome(outcome) => write!(f, "unknown outcome {outcome}"),
         }
     }
--- a/src/simulator/event_decoder.rs
+++ b/src/simulator/event_decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes event records.
+//! Decodes event records of the simulator's protocol.
 
 use super::error::FrameError;
 use super::frame::FieldReader;
@@ -6,45 +6,46 @@
 use crate::event::{Endpoint, EndpointState, EndpointUpdate, Event, Outcome, Request};
 use crate::ids::{ClassId, CounterKey, PlanId, RequestId, ServerId, TenantId};
 
-/// Decodes an event for a running gateway; `None` for one that gateways have no use for.
+/// Decodes an event for a running gateway. Returns `None` for a message from another instance, which gateways
+/// ignore.
 ///
 /// # Errors
-/// When the code is unknown or a field cannot be read.
+/// Returns an error if the code is unknown or a field is invalid.
 pub(super) fn decode(
     code: u16,
     record: FieldReader<'_>,
     tail: FieldReader<'_>,
 ) -> Result<Option<Event>, FrameError> {
     let event = match code {
-        event::endpoints_changed::CODE => endpoints_changed(record, tail),
-        event::request::CODE => request(record),
-        event::attempt_ended::CODE => attempt_ended(record),
-        event::response_started::CODE => response_started(record),
+        event::endpoints_changed::CODE => decode_endpoints_changed(record, tail),
+        event::request::CODE => decode_request(record),
+        event::attempt_ended::CODE => decode_attempt_ended(record),
+        event::response_started::CODE => decode_response_started(record),
         event::client_disconnected::CODE => {
             Ok(Event::ClientDisconnected(RequestId(record.u32(event::client_disconnected::ID)?)))
         }
         event::timer::CODE => Ok(Event::Timer(record.u64(event::timer::TOKEN)?)),
-        event::health_checked::CODE => health_checked(record),
-        event::counter_replied::CODE => counter_replied(record),
+        event::health_checked::CODE => decode_health_checked(record),
+        event::counter_replied::CODE => decode_counter_replied(record),
         event::peer_message::CODE => return Ok(None),
         _ => Err(FrameError::UnknownEvent(code)),
     };
     event.map(Some)
 }
 
-fn endpoints_changed(record: FieldReader<'_>, tail: FieldReader<'_>) -> Result<Event, FrameError> {
+fn decode_endpoints_changed(record: FieldReader<'_>, tail: FieldReader<'_>) -> Result<Event, FrameError> {
     use event::endpoints_changed::{ENDPOINTS_COUNT, ENDPOINTS_OFFSET, UPDATE};
     let update = decode_update(record.u8(UPDATE)?)?;
     let (offset, count) = (record.u32(ENDPOINTS_OFFSET)?, record.u32(ENDPOINTS_COUNT)?);
     let entries = tail
         .items(offset, count, ENDPOINT_BYTES)?
         .chunks_exact(ENDPOINT_BYTES)
-        .map(|bytes| decode_endpoint(FieldReader { bytes, section: "list entry" }))
+        .map(|bytes| decode_endpoint(FieldReader { bytes, section: "endpoint" }))
         .collect::<Result<_, _>>()?;
     Ok(Event::EndpointsChanged { update, entries })
 }
 
-fn request(record: FieldReader<'_>) -> Result<Event, FrameError> {
+fn decode_request(record: FieldReader<'_>) -> Result<Event, FrameError> {
     use event::request::{CLASS, GATEWAY_COUNT, ID, PLAN, TENANT, TIME_LEFT, UNITS};
     Ok(Event::Request(Request {
         id: RequestId(record.u32(ID)?),
@@ -57,7 +58,7 @@
     }))
 }
 
-fn attempt_ended(record: FieldReader<'_>) -> Result<Event, FrameError> {
+fn decode_attempt_ended(record: FieldReader<'_>) -> Result<Event, FrameError> {
     use event::attempt_ended::{ATTEMPT, COMPLETE, ELAPSED, ID, OUTCOME, SERVER};
     Ok(Event::AttemptEnded {
         id: RequestId(record.u32(ID)?),
@@ -69,12 +70,12 @@
     })
 }
 
-fn response_started(record: FieldReader<'_>) -> Result<Event, FrameError> {
+fn decode_response_started(record: FieldReader<'_>) -> Result<Event, FrameError> {
     use event::response_started::{ATTEMPT, ID};
     Ok(Event::ResponseStarted { id: RequestId(record.u32(ID)?), attempt: record.u8(ATTEMPT)? })
 }
 
-fn health_checked(record: FieldReader<'_>) -> Result<Event, FrameError> {
+fn decode_health_checked(record: FieldReader<'_>) -> Result<Event, FrameError> {
     use event::health_checked::{ELAPSED, OUTCOME, SERVER};
     Ok(Event::HealthChecked {
         server: ServerId(record.u32(SERVER)?),
@@ -83,7 +84,7 @@
     })
 }
 
-fn counter_replied(record: FieldReader<'_>) -> Result<Event, FrameError> {
+fn decode_counter_replied(record: FieldReader<'_>) -> Result<Event, FrameError> {
     use event::counter_replied::{ELAPSED, KEY, OUTCOME, TOTAL};
     Ok(Event::CounterReplied {
         key: CounterKey(record.u64(KEY)?),
@@ -109,7 +110,7 @@
         endpoint_state::READY => Ok(EndpointState::Ready),
         endpoint_state::DRAINING => Ok(EndpointState::Draining),
         endpoint_state::REMOVED => Ok(EndpointState::Removed),
-        _ => Err(FrameError::UnknownState(code)),
+        _ => Err(FrameError::UnknownEndpointState(code)),
     }
 }
 
@@ -119,7 +120,7 @@
         endpoint_update::COMPLETE => Ok(EndpointUpdate::Complete),
         endpoint_update::CACHED => Ok(EndpointUpdate::Cached),
         endpoint_update::FAILED => Ok(EndpointUpdate::Failed),
-        _ => Err(FrameError::UnknownUpdate(code)),
+        _ => Err(FrameError::UnknownEndpointUpdate(code)),
     }
 }
 
--- a/src/simulator/frame.rs
+++ b/src/simulator/frame.rs
@@ -1,9 +1,10 @@
-//! Little-endian fields of a frame: read with bounds, and written into zero-filled records.
+//! Reads little-endian fields of a frame with bounds checks, and writes them into zero-filled records.
 
 use super::error::FrameError;
 use super::layout::{record, ACTION_BYTES};
 
-/// Reads the fields of a header, a record or the tail; `section` names it in errors.
+/// Reads the fields of one section of a frame: a header, a record or the tail. Errors contain the name in
+/// `section`.
 #[derive(Clone, Copy)]
 pub(super) struct FieldReader<'a> {
     pub bytes: &'a [u8],
@@ -11,42 +12,42 @@
 }
 
 impl<'a> FieldReader<'a> {
-    fn take<const N: usize>(&self, offset: usize) -> Result<[u8; N], FrameError> {
+    fn read_array<const N: usize>(&self, offset: usize) -> Result<[u8; N], FrameError> {
         let end = offset.checked_add(N);
         end.and_then(|end| self.bytes.get(offset..end))
             .and_then(|field| field.try_into().ok())
-            .ok_or(FrameError::FieldOutside { section: self.section, offset, size: N })
+            .ok_or(FrameError::FieldOutOfBounds { section: self.section, offset, size: N })
     }
 
     pub fn u8(&self, offset: usize) -> Result<u8, FrameError> {
-        self.take(offset).map(u8::from_le_bytes)
+        self.read_array(offset).map(u8::from_le_bytes)
     }
 
     pub fn u16(&self, offset: usize) -> Result<u16, FrameError> {
-        self.take(offset).map(u16::from_le_bytes)
+        self.read_array(offset).map(u16::from_le_bytes)
     }
 
     pub fn u32(&self, offset: usize) -> Result<u32, FrameError> {
-        self.take(offset).map(u32::from_le_bytes)
+        self.read_array(offset).map(u32::from_le_bytes)
     }
 
     pub fn u64(&self, offset: usize) -> Result<u64, FrameError> {
-        self.take(offset).map(u64::from_le_bytes)
+        self.read_array(offset).map(u64::from_le_bytes)
     }
 
-    /// A finite 4-byte number.
+    /// Reads a 4-byte number, which must be finite.
     pub fn f32(&self, offset: usize) -> Result<f64, FrameError> {
-        let value = self.take(offset).map(f32::from_le_bytes)?;
-        self.finite(f64::from(value), offset)
+        let value = self.read_array(offset).map(f32::from_le_bytes)?;
+        self.require_finite(f64::from(value), offset)
     }
 
-    /// A finite 8-byte number.
+    /// Reads an 8-byte number, which must be finite.
     pub fn f64(&self, offset: usize) -> Result<f64, FrameError> {
-        let value = self.take(offset).map(f64::from_le_bytes)?;
-        self.finite(value, offset)
+        let value = self.read_array(offset).map(f64::from_le_bytes)?;
+        self.require_finite(value, offset)
     }
 
-    fn finite(&self, value: f64, offset: usize) -> Result<f64, FrameError> {
+    fn require_finite(&self, value: f64, offset: usize) -> Result<f64, FrameError> {
         if value.is_finite() {
             Ok(value)
         } else {
@@ -54,11 +55,11 @@
         }
     }
 
-    /// `count` items of `size` bytes from `offset` on.
+    /// Returns the bytes of `count` items of `size` bytes each, the first of which is at `offset`.
     pub fn items(&self, offset: u32, count: u32, size: usize) -> Result<&'a [u8], FrameError> {
         let offset = offset as usize;
         let end = (count as usize).checked_mul(size).and_then(|bytes| bytes.checked_add(offset));
-        end.and_then(|end| self.bytes.get(offset..end)).ok_or(FrameError::ItemsOutside {
+        end.and_then(|end| self.bytes.get(offset..end)).ok_or(FrameError::ItemsOutOfBounds {
             section: self.section,
             count,
             size,
@@ -67,37 +68,37 @@
     }
 }
 
-/// One action record being filled in.
+/// An action record under construction. Fields that are not set stay zero.
 pub(super) struct ActionRecord([u8; ACTION_BYTES]);
 
 impl ActionRecord {
     pub fn new(code: u16, instance: u32) -> Self {
         ActionRecord([0; ACTION_BYTES])
-            .bytes(record::CODE, &code.to_le_bytes())
+            .write_bytes(record::CODE, &code.to_le_bytes())
             .u32(record::INSTANCE, instance)
     }
 
     pub fn u8(self, offset: usize, value: u8) -> Self {
-        self.bytes(offset, &[value])
+        self.write_bytes(offset, &[value])
     }
 
     pub fn u32(self, offset: usize, value: u32) -> Self {
-        self.bytes(offset, &value.to_le_bytes())
+        self.write_bytes(offset, &value.to_le_bytes())
     }
 
     pub fn u64(self, offset: usize, value: u64) -> Self {
-        self.bytes(offset, &value.to_le_bytes())
+        self.write_bytes(offset, &value.to_le_bytes())
     }
 
     pub fn f32(self, offset: usize, value: f32) -> Self {
-        self.bytes(offset, &value.to_le_bytes())
+        self.write_bytes(offset, &value.to_le_bytes())
     }
 
     pub fn f64(self, offset: usize, value: f64) -> Self {
-        self.bytes(offset, &value.to_le_bytes())
+        self.write_bytes(offset, &value.to_le_bytes())
     }
 
-    fn bytes(mut self, offset: usize, bytes: &[u8]) -> Self {
+    fn write_bytes(mut self, offset: usize, bytes: &[u8]) -> Self {
         self.0[offset..offset + bytes.len()].copy_from_slice(bytes);
         self
     }
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,4 +1,4 @@
-//! Runs many gateways that share nothing, and carries frames between them and the wire.
+//! Runs the gateways of one process, which share no state, and answers the simulator's frames.
 
 use super::action_encoder::encode;
 use super::error::FrameError;
@@ -13,40 +13,42 @@
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 
-/// The gateways of one process, by instance number.
+/// Runs the gateways of one process.
 #[derive(Default)]
 pub struct GatewayHost {
+    /// The running gateways by instance number.
     gateways: HashMap<u32, Gateway>,
-    /// Actions of the current event; reused to save an allocation.
+    /// Actions that the current event caused. The vector is reused to save an allocation per event.
     actions: Vec<Action>,
 }
 
 impl GatewayHost {
-    /// Answers frames until the input ends between two of them.
+    /// Reads frames and writes their replies until the input ends, which it may do only between two frames.
     ///
     /// # Errors
-    /// On input that violates the protocol, or when reading or writing fails.
+    /// Returns an error if the input violates the protocol, or if reading or writing fails.
     pub fn run(&mut self, mut input: impl Read, mut output: impl Write) -> Result<(), FrameError> {
-        let mut number = 0;
+        let mut frame_number = 0;
         let mut frame = Vec::new();
-        while read_frame(&mut input, &mut frame).map_err(|error| error.in_frame(number))? {
-            let reply = self.answer(&frame).map_err(|error| error.in_frame(number))?;
+        while read_frame(&mut input, &mut frame).map_err(|error| error.in_frame(frame_number))? {
+            let reply = self.answer(&frame).map_err(|error| error.in_frame(frame_number))?;
             output
                 .write_all(&reply)
                 .and_then(|()| output.flush())
                 .map_err(|source| FrameError::Io { stream: "standard output", source })?;
-            number += 1;
+            frame_number += 1;
         }
         Ok(())
     }
 
-    /// The reply to one complete frame.
+    /// Handles the events of one complete frame and returns the reply.
     ///
     /// # Errors
-    /// When the frame violates the protocol.
+    /// Returns an error if the frame violates the protocol.
     pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, FrameError> {
-        let head = FieldReader { bytes: frame, section: "header" };
-        let (count, now) = (head.u32(header::RECORDS)? as usize, head.f64(header::TIME)?);
+        let frame_header = FieldReader { bytes: frame, section: "header" };
+        let (count, now) =
+            (frame_header.u32(header::RECORD_COUNT)? as usize, frame_header.f64(header::TIME)?);
         let body = frame.get(HEADER_BYTES..).unwrap_or(&[]);
         let (events, tail) = count
             .checked_mul(EVENT_BYTES)
@@ -54,23 +56,25 @@
             .ok_or(FrameError::TooManyRecords { count })?;
         let tail = FieldReader { bytes: tail, section: "tail" };
         let mut reply = vec![0; REPLY_HEADER_BYTES];
-        let mut written = 0u32;
-        for (number, bytes) in events.chunks_exact(EVENT_BYTES).enumerate() {
+        let mut action_count = 0u32;
+        for (record_number, bytes) in events.chunks_exact(EVENT_BYTES).enumerate() {
             let event = FieldReader { bytes, section: "event" };
-            let instance = self.handle(now, event, tail).map_err(|error| error.in_record(number))?;
+            let instance =
+                self.handle_event(now, event, tail).map_err(|error| error.in_record(record_number))?;
             for action in &self.actions {
                 reply.extend_from_slice(encode(instance, action).as_bytes());
-                written += 1;
+                action_count += 1;
             }
         }
-        let size = reply.len() as u32;
-        reply[..4].copy_from_slice(&written.to_le_bytes());
-        reply[4..8].copy_from_slice(&size.to_le_bytes());
+        let reply_bytes = reply.len() as u32;
+        reply[..4].copy_from_slice(&action_count.to_le_bytes());
+        reply[4..8].copy_from_slice(&reply_bytes.to_le_bytes());
         Ok(reply)
     }
 
-    /// Takes in one event and leaves the actions that it leads to in `self.actions`; the event's instance.
-    fn handle(
+    /// Handles one event and replaces `self.actions` with the actions that it causes. Returns the instance to
+    /// which the event is addressed.
+    fn handle_event(
         &mut self,
         now: Millis,
         event: FieldReader<'_>,
@@ -79,14 +83,14 @@
         let instance = event.u32(record::INSTANCE)?;
         self.actions.clear();
         match event.u16(record::CODE)? {
-            instance_started::CODE => self.start(instance, event, tail)?,
+            instance_started::CODE => self.start_gateway(instance, event, tail)?,
             instance_stopped::CODE => drop(self.gateways.remove(&instance)),
-            code => self.dispatch(now, instance, code, event, tail)?,
+            code => self.dispatch_event(now, instance, code, event, tail)?,
         }
         Ok(instance)
     }
 
-    fn start(
+    fn start_gateway(
         &mut self,
         instance: u32,
         event: FieldReader<'_>,
@@ -101,7 +105,7 @@
         Ok(())
     }
 
-    fn dispatch(
+    fn dispatch_event(
         &mut self,
         now: Millis,
         instance: u32,
@@ -118,26 +122,26 @@
     }
 }
 
-/// Reads one frame; false where the input ends before it.
+/// Reads one frame into `frame`. Returns false if the input ends before the first byte of the frame.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, FrameError> {
     let input_error = |source| FrameError::Io { stream: "standard input", source };
-    let Some(size) = read_length(input)? else { return Ok(false) };
-    let length = u32::from_le_bytes(size) as usize;
+    let Some(length_bytes) = read_length(input)? else { return Ok(false) };
+    let length = u32::from_le_bytes(length_bytes) as usize;
     if length < HEADER_BYTES {
         return Err(FrameError::ShorterThanHeader { length });
     }
     frame.clear();
-    frame.extend_from_slice(&size);
-    // Grows only as bytes arrive: a length that nothing follows allocates nothing.
-    let rest = (length - size.len()) as u64;
-    input.by_ref().take(rest).read_to_end(frame).map_err(input_error)?;
+    frame.extend_from_slice(&length_bytes);
+    // The buffer grows only as bytes arrive, so that a large length without content allocates nothing.
+    let remaining = (length - length_bytes.len()) as u64;
+    input.by_ref().take(remaining).read_to_end(frame).map_err(input_error)?;
     if frame.len() != length {
-        return Err(FrameError::Truncated { received: frame.len(), length });
+        return Err(FrameError::TruncatedFrame { received: frame.len(), length });
     }
     Ok(true)
 }
 
-/// Reads the length that a frame begins with; `None` where the input ends before its first byte.
+/// Reads the length field at the start of a frame. Returns `None` if the input ends before the first byte.
 fn read_length(input: &mut impl Read) -> Result<Option<[u8; 4]>, FrameError> {
     let mut length = [0; 4];
     let mut received = 0;
--- a/src/simulator/layout.rs
+++ b/src/simulator/layout.rs
@@ -1,30 +1,31 @@
-//! Codes and byte positions of the wire, named as the decision module names them. The comment at each record
-//! and field has the protocol's own name. Positions count from the start of the record, its code included.
+//! Codes and byte offsets of the simulator's protocol. The constants have the names that the policy uses; a
+//! comment gives the protocol's own name where it is different. Offsets in a record are counted from the
+//! start of the record, which begins with its code.
 
-/// Bytes of a frame's header.
+/// Size of a frame header, bytes.
 pub const HEADER_BYTES: usize = 16;
-/// Bytes of a reply's header.
+/// Size of a reply header, bytes.
 pub const REPLY_HEADER_BYTES: usize = 8;
-/// Bytes of an event record.
+/// Size of an event record, bytes.
 pub const EVENT_BYTES: usize = 48;
-/// Bytes of an action record.
+/// Size of an action record, bytes.
 pub const ACTION_BYTES: usize = 32;
-/// Bytes of an endpoint in the tail.
+/// Size of an endpoint in the tail, bytes.
 pub const ENDPOINT_BYTES: usize = 22;
 
-/// Header of a frame.
+/// Fields of a frame header.
 pub mod header {
-    pub const RECORDS: usize = 4;
+    pub const RECORD_COUNT: usize = 4;
     pub const TIME: usize = 8;
 }
 
-/// What every record begins with.
+/// Fields at the start of every event and action record.
 pub mod record {
     pub const CODE: usize = 0;
     pub const INSTANCE: usize = 2; // who
 }
 
-/// Event records.
+/// Fields of the event records.
 pub mod event {
     /// `PROVISION`: an instance starts.
     pub mod instance_started {
@@ -39,7 +40,7 @@
         pub const CODE: u16 = 1020;
     }
 
-    /// `MESSAGE`: from another instance. Gateways of this library send none.
+    /// `MESSAGE`: another instance has sent a message. The gateways of this crate send none.
     pub mod peer_message {
         pub const CODE: u16 = 1050;
     }
@@ -52,7 +53,7 @@
         pub const ENDPOINTS_COUNT: usize = 15;
     }
 
-    /// `INGRESS`: a client's request.
+    /// `INGRESS`: a request has arrived from a client.
     pub mod request {
         pub const CODE: u16 = 1010;
         pub const ID: usize = 6; // op_id
@@ -112,7 +113,7 @@
     }
 }
 
-/// An endpoint in the tail; no code and no instance.
+/// Fields of an endpoint in the tail, which has neither a code nor an instance.
 pub mod endpoint {
     pub const WEIGHT: usize = 0;
     pub const SERVER: usize = 4;
@@ -122,14 +123,14 @@
     pub const STATE: usize = 21;
 }
 
-/// States of an endpoint.
+/// The states of an endpoint.
 pub mod endpoint_state {
     pub const REMOVED: u8 = 0; // gone
     pub const READY: u8 = 1;
     pub const DRAINING: u8 = 2;
 }
 
-/// Kinds of an endpoint list.
+/// The kinds of endpoint update.
 pub mod endpoint_update {
     pub const INCREMENTAL: u8 = 0; // delta
     pub const COMPLETE: u8 = 1; // full
@@ -137,7 +138,7 @@
     pub const FAILED: u8 = 3;
 }
 
-/// How an attempt, a health check or a counter call ended.
+/// The outcomes of an attempt, a health check or a counter call.
 pub mod outcome {
     pub const OK: u8 = 0;
     pub const CANCELLED: u8 = 1;
@@ -149,7 +150,7 @@
     pub const CONNECT_FAILED: u8 = 14;
 }
 
-/// Action records.
+/// Fields of the action records.
 pub mod action {
     /// `PASS_ON`: start an attempt.
     pub mod forward {
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,8 @@
-//! Adapter between the simulator's binary frames and the gateways that it runs. It translates and decides
-//! nothing.
+//! Adapter between the simulator's binary protocol and the gateways that the simulator runs. It only converts
+//! events and actions; the policy makes all decisions.
 //!
-//! `layout` has the codes and byte positions of the records, `frame` reads and writes fields, `event_decoder`
-//! and `action_encoder` translate, and [`GatewayHost`] runs the gateways.
+//! `layout` defines the codes and byte offsets of the records, and `frame` reads and writes their fields.
+//! `event_decoder` decodes events, `action_encoder` encodes actions, and [`GatewayHost`] runs the gateways.
 
 mod action_encoder;
 mod error;
