--- a/tests/settings_values.rs
+++ b/tests/settings_values.rs
@@ -1,10 +1,10 @@
-//! What either reader of the settings makes of a wide set of values, good and malformed.
+//! Checks how both settings readers read a wide range of valid and malformed values.
 //!
-//! The readers take in files of deployments that nobody here has seen. A rewrite of them that read one number
-//! otherwise, or refused what it had taken in, would show only there. So each result is recorded, a line each
-//! in `recorded/settings_values.txt`, by the place of the value and what it led to. A run writes its own
-//! results to the target directory; a line that has changed on purpose is copied from there, in the commit
-//! that changes it.
+//! The readers must read the configuration files of deployments that are not known to this project. A change
+//! that reads a number differently, or rejects a value that was accepted before, would be noticed only there.
+//! Therefore `recorded/settings_values.txt` records the result of each value, grouped by the setting that has
+//! the value. The test writes its own results to the target directory. After an intended change, copy the
+//! changed lines from there in the same commit.
 
 use rate_limiting_gateway::config::{parse_settings, Config, ConfigError};
 use rate_limiting_gateway::settings::{Class, Plan, Settings};
@@ -12,7 +12,7 @@
 
 const RECORDED: &str = include_str!("recorded/settings_values.txt");
 
-/// A configuration file with every key that is read.
+/// A valid configuration file that contains every key that the gateway reads.
 fn base_file() -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "counter": "127.0.0.1:2",
@@ -39,7 +39,7 @@
     })
 }
 
-/// The same settings as the simulator hands them over.
+/// The policy's settings in [`base_file`], in the simulator's text format.
 const BASE_TEXT: &str = "balancers=7\ndiscovery=on_request\nclasses.count=2\n\
     classes.0.name=look\nclasses.0.deadline=900.0\nclasses.0.goal_time=300.0\nclasses.0.importance=0.5\n\
     classes.0.idempotency=free\nclasses.0.group=all\nclasses.0.repeat_window=1000.0\nclasses.0.late_value=0.25\n\
@@ -51,8 +51,8 @@
     ceilings.max_retry_after=800.0\nfamily_info.shared_counter=true\nfamily_info.counter_timeout=30.0\n\
     family_info.max_units=2\nsafety.start_capacity=0.3\nsafety.warm_after=3000.0\n";
 
-/// Places of the file that get each of [`json_values`].
-const JSON_PLACES: &[&str] = &[
+/// JSON pointers of the fields that the test sets to each of [`json_values`].
+const JSON_POINTERS: &[&str] = &[
     "/settings/balancers",
     "/settings/areas",
     "/settings/areas/1",
@@ -109,6 +109,7 @@
     "/limits/memory_mb",
 ];
 
+/// Valid and malformed values, which the test sets at each of [`JSON_POINTERS`].
 fn json_values() -> Vec<Value> {
     vec![
         json!(null),
@@ -155,7 +156,7 @@
     ]
 }
 
-/// Files as a whole, with forms that no single value brings about.
+/// Complete `settings` objects, for cases that a change of a single value does not cover.
 fn whole_settings() -> Vec<Value> {
     let class = json!({"deadline": 70, "idempotency": "free"});
     let many = |n: usize| vec![json!({}); n];
@@ -180,7 +181,7 @@
     ]
 }
 
-/// Values that each line of the settings text gets.
+/// Values that the test gives to each line of [`BASE_TEXT`].
 const TEXT_VALUES: &[&str] = &[
     "",
     " ",
@@ -215,7 +216,7 @@
     "a=b",
 ];
 
-/// Texts as a whole.
+/// Complete settings texts, for cases that a change of a single line does not cover.
 const WHOLE_TEXTS: &[&str] = &[
     "",
     "\n\n=\n==\nx\n",
@@ -299,7 +300,7 @@
 fn read_file(text: &str) -> Result<Vec<String>, String> {
     match Config::parse(text) {
         Ok(config) => Ok(config_lines(&config)),
-        // Where it is not JSON of the agreed form, the words are the JSON library's.
+        // The message comes from the JSON library, so it is not recorded.
         Err(ConfigError::Malformed(_)) => Err("malformed".into()),
         Err(error) => Err(error.to_string()),
     }
@@ -309,8 +310,8 @@
     parse_settings(text).map(|settings| settings_lines(&settings)).map_err(|error| error.to_string())
 }
 
-/// A result, told by what differs from another.
-fn outcome(result: &Result<Vec<String>, String>, base: &[String]) -> String {
+/// Describes a result: the error, or the lines that are not in `base`.
+fn describe_result(result: &Result<Vec<String>, String>, base: &[String]) -> String {
     match result {
         Err(error) => format!("error: {error}"),
         Ok(lines) => {
@@ -321,104 +322,111 @@
     }
 }
 
-/// Results in the order of their places, and at each place the values by what they lead to.
+/// The results of all values as lines of text. A section for each changed setting lists the results, each
+/// with the values that led to it.
 #[derive(Default)]
-struct Record {
+struct ResultLog {
     lines: Vec<String>,
-    outcomes: Vec<(String, Vec<String>)>,
+    /// The results of the current section and the values that led to each.
+    results: Vec<(String, Vec<String>)>,
 }
 
-impl Record {
-    fn begin(&mut self, place: &str) {
-        for (outcome, values) in self.outcomes.drain(..) {
-            self.lines.push(format!("  {outcome} <- {}", values.join(" | ")));
+impl ResultLog {
+    /// Ends the current section and starts the next one.
+    fn start_section(&mut self, heading: &str) {
+        for (result, values) in self.results.drain(..) {
+            self.lines.push(format!("  {result} <- {}", values.join(" | ")));
         }
-        self.lines.push(place.to_owned());
+        self.lines.push(heading.to_owned());
     }
 
-    fn add(&mut self, value: String, outcome: String) {
-        match self.outcomes.iter_mut().find(|(known, _)| *known == outcome) {
+    fn add(&mut self, value: String, result: String) {
+        match self.results.iter_mut().find(|(known, _)| *known == result) {
             Some((_, values)) => values.push(value),
-            None => self.outcomes.push((outcome, vec![value])),
+            None => self.results.push((result, vec![value])),
         }
     }
 }
 
-/// The file without what stands at a place.
-fn without(place: &str) -> Value {
-    let (parent, key) = place.rsplit_once('/').expect("a place");
+/// [`base_file`] without the value at a JSON pointer.
+fn base_file_without(pointer: &str) -> Value {
+    let (parent, key) = pointer.rsplit_once('/').expect("a JSON pointer contains a slash");
     let mut file = base_file();
     match file.pointer_mut(parent).expect(parent) {
         Value::Object(fields) => drop(fields.remove(key)),
-        Value::Array(items) => drop(items.remove(key.parse().expect("a number"))),
-        _ => panic!("{parent} holds nothing"),
+        Value::Array(items) => drop(items.remove(key.parse().expect("the key of an array item is a number"))),
+        _ => panic!("{parent} is neither an object nor an array"),
     }
     file
 }
 
-fn record_json(record: &mut Record) {
-    let base = read_file(&base_file().to_string()).expect("the base is read");
-    record.begin("json");
-    record.add("base".into(), base.join("; "));
-    for place in JSON_PLACES {
-        record.begin(&format!("json {place}"));
+fn record_json_results(log: &mut ResultLog) {
+    let base = read_file(&base_file().to_string()).expect("the base file is valid");
+    log.start_section("json");
+    log.add("base".into(), base.join("; "));
+    for pointer in JSON_POINTERS {
+        log.start_section(&format!("json {pointer}"));
         for value in json_values() {
             let mut file = base_file();
-            *file.pointer_mut(place).expect(place) = value.clone();
-            record.add(value.to_string(), outcome(&read_file(&file.to_string()), &base));
+            *file.pointer_mut(pointer).expect(pointer) = value.clone();
+            log.add(value.to_string(), describe_result(&read_file(&file.to_string()), &base));
         }
-        record.add("absent".into(), outcome(&read_file(&without(place).to_string()), &base));
+        log.add("absent".into(), describe_result(&read_file(&base_file_without(pointer).to_string()), &base));
     }
-    record.begin("json whole settings");
+    log.start_section("json whole settings");
     for settings in whole_settings() {
         let mut file = base_file();
         file["settings"] = settings.clone();
-        record.add(settings.to_string(), outcome(&read_file(&file.to_string()), &base));
+        log.add(settings.to_string(), describe_result(&read_file(&file.to_string()), &base));
     }
 }
 
-fn record_text(record: &mut Record) {
-    let base = read_text(BASE_TEXT).expect("the base is read");
-    record.begin("text");
-    record.add("base".into(), base.join("; "));
+fn record_text_results(log: &mut ResultLog) {
+    let base = read_text(BASE_TEXT).expect("the base text is valid");
+    log.start_section("text");
+    log.add("base".into(), base.join("; "));
     for line in BASE_TEXT.lines() {
-        let (key, _) = line.split_once('=').expect("a line");
-        record.begin(&format!("text {key}"));
+        let (key, _) = line.split_once('=').expect("each line contains `=`");
+        log.start_section(&format!("text {key}"));
         for value in TEXT_VALUES {
             let text = BASE_TEXT.replace(line, &format!("{key}={value}"));
-            record.add(format!("{value:?}"), outcome(&read_text(&text), &base));
+            log.add(format!("{value:?}"), describe_result(&read_text(&text), &base));
         }
-        record.add("absent".into(), outcome(&read_text(&BASE_TEXT.replace(line, "")), &base));
+        log.add("absent".into(), describe_result(&read_text(&BASE_TEXT.replace(line, "")), &base));
     }
-    record.begin("text whole");
+    log.start_section("text whole");
     for text in WHOLE_TEXTS {
-        record.add(format!("{text:?}"), outcome(&read_text(text), &base));
+        log.add(format!("{text:?}"), describe_result(&read_text(text), &base));
     }
-    record.begin("end");
+    log.start_section("end");
 }
 
 #[test]
-fn either_reader_makes_of_each_value_what_was_recorded() {
-    let mut record = Record::default();
-    record_json(&mut record);
-    record_text(&mut record);
+fn both_readers_read_each_value_as_recorded() {
+    let mut log = ResultLog::default();
+    record_json_results(&mut log);
+    record_text_results(&mut log);
     let path = concat!(env!("CARGO_TARGET_TMPDIR"), "/settings_values.txt");
-    std::fs::write(path, record.lines.join("\n") + "\n").expect("a file");
-    let mut place = "";
-    for (line, recorded) in record.lines.iter().zip(RECORDED.lines()) {
+    std::fs::write(path, log.lines.join("\n") + "\n").expect("cannot write the results file");
+    let mut section = "";
+    for (line, recorded) in log.lines.iter().zip(RECORDED.lines()) {
         if !line.starts_with(' ') {
-            place = line;
+            section = line;
         }
-        assert_eq!(line, recorded, "{place}");
+        assert_eq!(line, recorded, "a result in section {section:?} differs from the recorded one");
     }
-    assert_eq!(record.lines.len(), RECORDED.lines().count(), "results and recorded ones");
+    assert_eq!(
+        log.lines.len(),
+        RECORDED.lines().count(),
+        "the number of results differs from the recorded one"
+    );
 }
 
-/// The file and the simulator's text name the same settings, so that what one reader learns the other does
-/// not miss.
+/// Both formats must give the same settings. Otherwise a setting that is added to only one reader would be
+/// missing from the other one.
 #[test]
 fn both_readers_give_the_same_settings() {
-    let config = Config::parse(&base_file().to_string()).expect("the base is read");
-    let settings = parse_settings(BASE_TEXT).expect("the base is read");
+    let config = Config::parse(&base_file().to_string()).expect("the base file is valid");
+    let settings = parse_settings(BASE_TEXT).expect("the base text is valid");
     assert_eq!(settings_lines(&config.settings), settings_lines(&settings));
 }
--- a/tests/settings_variety.rs
+++ b/tests/settings_variety.rs
@@ -1,13 +1,13 @@
-//! The gateway with settings unlike those of any deployment it has been run for, extreme but legal values
-//! among them: what it does has to come from the settings alone.
+//! Runs the gateway with settings that differ from those of all known deployments, some of them with extreme
+//! but valid values. The gateway's behaviour must depend only on the settings.
 
-#[allow(dead_code)] // each file of tests uses its own part
+#[allow(dead_code)] // each test program uses only some of the helpers
 mod support;
 
 use serde_json::{json, Value};
 use support::*;
 
-/// A deployment with a class of each kind and plans of all kinds of quota.
+/// Settings with a class for each kind of idempotency, and with plans for each kind of quota.
 fn settings() -> Value {
     json!({
         "balancers": 7, "areas": ["north-1", "south-2", "3"], "zone": 2, "discovery": "pushed",
@@ -35,18 +35,19 @@
     })
 }
 
-/// The same with something else at each of these places.
+/// [`settings`] with other values at some JSON pointers.
 fn settings_with(changes: &[(&str, Value)]) -> Value {
     let mut all = settings();
-    for (place, value) in changes {
-        *all.pointer_mut(place).unwrap_or_else(|| panic!("{place} is not in the settings")) = value.clone();
+    for (pointer, value) in changes {
+        *all.pointer_mut(pointer).unwrap_or_else(|| panic!("{pointer} is not in the settings")) =
+            value.clone();
     }
     all
 }
 
 fn request(class: &str, post: bool, plan: &str, units: &str, id: &str) -> String {
-    // Clients wait for half of their class's deadline or more.
-    let left = match class {
+    // Each client has at least half of its class's deadline left, in seconds.
+    let time_left = match class {
         "quarterly-report.v2" => "500",
         "C_3" => "4.5",
         _ => "0.85",
@@ -54,15 +55,15 @@
     let (method, length) = if post { ("POST", "Content-Length: 2\r\n\r\n{}") } else { ("GET", "\r\n") };
     format!(
         "{method} /{class}?customer=00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: {id}\r\n\
-         X-Service-Class: {class}\r\nX-Plan: {plan}\r\nX-Time-Left: {left}\r\nIdempotency-Key: {id}\r\n\
+         X-Service-Class: {class}\r\nX-Plan: {plan}\r\nX-Time-Left: {time_left}\r\nIdempotency-Key: {id}\r\n\
          X-Quota: units={units},spread=1,first=0\r\n{length}"
     )
 }
 
-/// Settings at the edges of what may be told, each with what is unusual in it.
+/// Valid settings with extreme values, each with a description of what is extreme.
 fn variants() -> [(&'static str, Value); 9] {
     [
-        ("as they are", settings()),
+        ("unchanged settings", settings()),
         (
             "one gateway",
             settings_with(&[("/balancers", json!(1)), ("/areas", json!([])), ("/zone", json!(0))]),
@@ -77,10 +78,10 @@
         }),
         ("connections closed after 1 ms", settings_with(&[("/ceilings/conn_idle", json!(1.0))])),
         ("no counter", settings_with(&[("/family_info/shared_counter", json!(false))])),
-        ("slow start without an end", {
+        ("a very long slow start", {
             settings_with(&[("/safety/warm_after", json!(1e12)), ("/safety/start_capacity", json!(0.0001))])
         }),
-        ("long and short spans", {
+        ("very long and very short durations", {
             settings_with(&[
                 ("/classes/1/deadline", json!(1e15)),
                 ("/family_info/counter_timeout", json!(1e7)),
@@ -93,8 +94,8 @@
 }
 
 #[test]
-fn every_class_and_plan_is_served_whatever_the_settings_are() {
-    for (what, settings) in variants() {
+fn requests_of_every_class_and_plan_are_served_with_unusual_settings() {
+    for (variant, settings) in variants() {
         let server = Server::ok();
         let (mut setup, _discovery, _counter) = start_stubs(&endpoints_of(&server));
         setup.settings = Some(settings);
@@ -105,13 +106,13 @@
         for (i, (class, post)) in classes.into_iter().enumerate() {
             for (j, plan) in ["free", "Open Only", "c", "nothing"].into_iter().enumerate() {
                 let text = request(class, post, plan, "1", &format!("{i}{j}"));
-                let got = client.exchange_bytes(text.as_bytes()).map(|m| m.status());
-                assert_eq!(got, Some(200), "{what}: {class} of {plan}");
+                let status = client.exchange_bytes(text.as_bytes()).map(|m| m.status());
+                assert_eq!(status, Some(200), "{variant}: wrong status for class {class} and plan {plan}");
                 served += 1;
             }
         }
-        assert_eq!(server.request_count(), served, "{what}: each is forwarded once");
-        // Classes and plans of other deployments are unknown here.
+        assert_eq!(server.request_count(), served, "{variant}: a request was not forwarded exactly once");
+        // The classes and plans of other deployments are unknown in this one.
         let unknown =
             [("look", "c", 404), ("fetch-count", "c", 404), ("a", "team", 400), ("a", "lokal", 400)];
         for (class, plan, status) in unknown {
@@ -119,33 +120,33 @@
             assert_eq!(
                 gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status()),
                 Some(status),
-                "{what}"
+                "{variant}: wrong status for class {class} and plan {plan}"
             );
         }
         let text = request("a", false, "c", "250.5", "y");
         assert_eq!(
             gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status()),
             Some(400),
-            "{what}: units"
+            "{variant}: wrong status for a request with more units than `max_units`"
         );
         gateway.terminate();
-        assert_eq!(gateway.exit_code(), Some(0), "{what}");
+        assert_eq!(gateway.exit_code(), Some(0), "{variant}: the gateway did not exit cleanly");
     }
 }
 
-/// A server dies with a non-idempotent request, beside a draining one, in a deployment whose class and server
-/// names are not those of the others. The request must fail rather than run twice, and the draining server
-/// gets nothing.
+/// A server closes the connection on a non-idempotent request, and the only other server is draining. The
+/// names of the class and the servers differ from those of the other tests. The request must fail rather than
+/// be executed twice, and the draining server must not receive any request.
 #[test]
-fn a_drain_is_heeded_and_a_non_idempotent_class_is_not_retried_under_other_names_too() {
-    let dies = Server::start(|_| StubResponse::Close(Vec::new()));
-    let ok = Server::ok();
+fn draining_servers_and_non_idempotent_classes_are_recognized_under_any_name() {
+    let closing = Server::start(|_| StubResponse::Close(Vec::new()));
+    let draining = Server::ok();
     let known = endpoint_list(
         1,
         true,
         &[
-            endpoint_entry("node/1", dies.address, "Ready"),
-            endpoint_entry("node/2", ok.address, "Terminating"),
+            endpoint_entry("node/1", closing.address, "Ready"),
+            endpoint_entry("node/2", draining.address, "Terminating"),
         ],
     );
     let (discovery, counter) = (Discovery::start(known.clone()), Counter::ok());
@@ -155,53 +156,62 @@
     let text = request("quarterly-report.v2", true, "c", "1", "once");
     let status = gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status());
     assert_eq!(
-        (status, dies.request_count(), ok.request_count()),
+        (status, closing.request_count(), draining.request_count()),
         (Some(502), 1, 0),
-        "may have been executed: failed, not rejected"
+        "the request, which may have been executed, did not fail after one attempt"
     );
-    eventually("a watch", || discovery.watch_count() == 1);
+    eventually("the gateway watches discovery", || discovery.watch_count() == 1);
     discovery.write(
         &(endpoint_list(
             2,
             false,
-            &[endpoint_entry("node/2", ok.address, "Ready"), endpoint_entry("node/1", dies.address, "Gone")],
+            &[
+                endpoint_entry("node/2", draining.address, "Ready"),
+                endpoint_entry("node/1", closing.address, "Gone"),
+            ],
         ) + "\n"),
     );
-    eventually("the other serves", || {
+    eventually("the server that was draining serves again", || {
         let text = request("a", false, "c", "1", "again");
         gateway.client().exchange_bytes(text.as_bytes()).map(|m| m.status()) == Some(200)
     });
-    assert_eq!(dies.request_count(), 1);
+    assert_eq!(closing.request_count(), 1, "a request was sent to the removed server");
 }
 
-/// A deployment hands over a file that cannot be used. The process has to end and say why: one that stayed up
-/// would look healthy and serve nobody.
+/// A deployment provides an unusable configuration file. The process must exit with an error message: a
+/// process that stayed up would look healthy but serve no clients.
 #[test]
-fn a_configuration_that_cannot_be_used_ends_the_process_with_a_message() {
+fn an_unusable_configuration_ends_the_process_with_an_error_message() {
     let path = std::env::temp_dir().join(format!("rate-limiting-gateway-bad-{}.json", std::process::id()));
     let start_with = |text: Option<&str>| {
         match text {
-            Some(text) => std::fs::write(&path, text).expect("a file"),
+            Some(text) => std::fs::write(&path, text).expect("cannot write the configuration file"),
             None => _ = std::fs::remove_file(&path),
         }
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_rate-limiting-gateway"));
-        let out = command.env("PROXY_CONFIG", &path).output().expect("the gateway");
+        let out = command.env("PROXY_CONFIG", &path).output().expect("cannot run the gateway");
         (out.status.code(), out.stderr.len())
     };
-    let valid =
-        Setup::new("127.0.0.1:1".parse().expect("an address"), "127.0.0.1:2".parse().expect("one"), "null");
+    let valid = Setup::new(
+        "127.0.0.1:1".parse().expect("an address"),
+        "127.0.0.1:2".parse().expect("an address"),
+        "null",
+    );
     let valid = valid.config();
-    for (what, text) in [
+    for (fault, text) in [
         ("no file", None),
-        ("no JSON", Some("{".to_owned())),
-        ("another form", Some("[]".to_owned())),
+        ("incomplete JSON", Some("{".to_owned())),
+        ("an array instead of an object", Some("[]".to_owned())),
         ("no classes", Some(valid.replace("\"classes\"", "\"klasses\""))),
-        ("an unknown kind of class", Some(valid.replace("single_shot", "perhaps"))),
-        ("an address that is none", Some(valid.replace("127.0.0.1:1\"", "here\""))),
-        ("a number that is none", Some(valid.replace("\"deadline\":2000", "\"deadline\":\"soon\""))),
+        ("an unknown kind of idempotency", Some(valid.replace("single_shot", "perhaps"))),
+        ("an invalid address", Some(valid.replace("127.0.0.1:1\"", "here\""))),
+        ("an invalid number", Some(valid.replace("\"deadline\":2000", "\"deadline\":\"soon\""))),
     ] {
-        let (code, message) = start_with(text.as_deref());
-        assert!(code.is_some_and(|c| c != 0) && message > 0, "{what}: {code:?}, {message} bytes of message");
+        let (code, message_bytes) = start_with(text.as_deref());
+        assert!(
+            code.is_some_and(|c| c != 0) && message_bytes > 0,
+            "{fault}: exit code {code:?}, error message of {message_bytes} bytes"
+        );
     }
     let _ = std::fs::remove_file(&path);
 }
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -1,6 +1,6 @@
 //! Feeds valid and malformed frames to the simulator's adapter and checks its replies and errors.
 
-#[allow(dead_code)] // each file of tests uses its own part
+#[allow(dead_code)] // each test program uses only some of the helpers
 #[path = "support/frames.rs"]
 mod frames;
 
