--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -49,7 +49,7 @@
     },
     /// A field extends past the end of its section.
     FieldOutOfBounds {
-        /// Name of the section: a header, a record or the tail.
+        /// Name of the section: the header, an event record, the tail or an endpoint in it.
         section: &'static str,
         /// Offset of the field in the section, bytes.
         offset: usize,
@@ -74,7 +74,7 @@
         /// Offset of the first item in the section, bytes.
         offset: usize,
     },
-    /// The settings of an instance are not UTF-8.
+    /// The settings of an instance are not valid UTF-8.
     SettingsNotUtf8,
     /// The settings of an instance are invalid.
     Settings(SettingsError),
--- a/src/simulator/frame.rs
+++ b/src/simulator/frame.rs
@@ -3,8 +3,8 @@
 use super::error::FrameError;
 use super::layout::{record, ACTION_BYTES};
 
-/// Reads the fields of one section of a frame: a header, a record or the tail. Errors contain the name in
-/// `section`.
+/// Reads the fields of one section of a frame: the header, an event record, the tail or an endpoint in it.
+/// Errors name the section by `section`.
 #[derive(Clone, Copy)]
 pub(super) struct FieldReader<'a> {
     pub bytes: &'a [u8],
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -132,7 +132,7 @@
     }
     frame.clear();
     frame.extend_from_slice(&length_bytes);
-    // The buffer grows only as bytes arrive, so that a large length without content allocates nothing.
+    // The buffer grows only as bytes arrive, so that a large length that no bytes follow allocates nothing.
     let remaining = (length - length_bytes.len()) as u64;
     input.by_ref().take(remaining).read_to_end(frame).map_err(input_error)?;
     if frame.len() != length {
