--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -33,7 +33,7 @@
 }
 
 impl ResponseStream {
-    /// Sends a request to the agent on a new connection. `timeout_each` limits the time to open the
+    /// Sends a request to the agent on a new connection. `request_timeout` limits the time to open the
     /// connection, and again the time to receive the response head. Objects in the response may hold up to
     /// `max_object_bytes`.
     ///
@@ -43,12 +43,12 @@
     pub async fn open<A: Connect>(
         agent: &A,
         path: &str,
-        timeout_each: Duration,
+        request_timeout: Duration,
         max_object_bytes: usize,
     ) -> Result<Self, DiscoveryError> {
         // If an await in this function is cancelled, the connection is closed. No other state has changed, so
         // the request can be sent again.
-        let stream = timeout(timeout_each, agent.connect())
+        let stream = timeout(request_timeout, agent.connect())
             .await
             .map_err(|_| DiscoveryError::ConnectTimeout)?
             .map_err(DiscoveryError::Connect)?;
@@ -58,7 +58,7 @@
             let _ = connection.await;
         }));
         let request = Request::get(path).header("host", agent.to_string()).body(Empty::<Bytes>::new())?;
-        let response = timeout(timeout_each, sender.send_request(request))
+        let response = timeout(request_timeout, sender.send_request(request))
             .await
             .map_err(|_| DiscoveryError::ResponseTimeout)??;
         match response.status() {
