--- a/src/ids.rs
+++ b/src/ids.rs
@@ -3,15 +3,15 @@
 /// A point in time on the clock of the policy's caller, or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// A request at this gateway. A retry by the client is a new request with a new id.
+/// The id of a request at this gateway. A retry by the client is a new request with a new id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// A server. All gateways use the same number for the same server.
+/// The id of a server, which is the same at all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// A tenant, whose quota all gateways enforce together.
+/// The id of a tenant, which is the same at all gateways: they enforce its quota together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u64);
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway program: serves clients on sockets as the policy of [`rate_limiting_gateway`] decides.
+//! The gateway program. It serves clients on sockets; [`rate_limiting_gateway::policy`] makes the decisions.
 
 use rate_limiting_gateway::config::{Config, ConfigError};
 use rate_limiting_gateway::net::logging;
--- a/src/net/client/headers.rs
+++ b/src/net/client/headers.rs
@@ -32,8 +32,8 @@
 /// Parses a plain decimal number: one without a sign or an exponent, and not `NaN` or `inf`.
 pub fn parse_decimal(text: &str) -> Option<f64> {
     let text = text.trim();
-    let is_plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    if is_plain {
+    let only_digits_and_dots = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    if only_digits_and_dots {
         text.parse().ok()
     } else {
         None
--- a/src/net/client/instrumented_stream.rs
+++ b/src/net/client/instrumented_stream.rs
@@ -101,9 +101,9 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Shuts down sending, and completes when the socket may be closed. Requests that arrive in the meantime
-    /// are not read, so that the client knows that they were not processed and may send them to another
-    /// gateway.
+    /// Shuts down sending, then waits until the client has closed the connection as well or the linger time
+    /// has passed. Requests that arrive during the wait are not read. This shows the client that they were
+    /// not processed, so it may send them to another gateway.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let lingering = match self.lingering.take() {
             Some(lingering) => lingering,
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -14,7 +14,7 @@
 /// immediately and the loop would spin.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Longest wait for an evicted connection to close before another one is evicted.
-const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
+const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Accepts client connections, serves each in its own task and closes them during a shutdown.
 pub struct ClientListener {
@@ -60,7 +60,7 @@
             self.handler.set_saturated(!evicted);
             // An idle connection that was asked to close stays open if a request arrives on it in the
             // meantime. The next iteration then evicts another one.
-            let _ = tokio::time::timeout(EVICTION_INTERVAL, self.connections.connection_removed()).await;
+            let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.connections.connection_removed()).await;
         }
         self.handler.set_saturated(false);
     }
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -34,8 +34,8 @@
 
 impl ResponseStream {
     /// Sends a request to the agent on a new connection. `timeout_each` limits the time to open the
-    /// connection, and again the time to receive the response head. Objects in the response may hold up to
-    /// `max_object_bytes`.
+    /// connection, and again the time to receive the response head. Each endpoint list in the response is a
+    /// JSON object of at most `max_object_bytes`.
     ///
     /// # Errors
     /// Returns an error if the agent cannot be reached, does not respond in time or responds with a status
@@ -83,8 +83,9 @@
         Ok(Some(list))
     }
 
-    /// Waits for the next piece of the body. The time limit is `idle_timeout` between two objects. Within an
-    /// object it is [`STALL_TIMEOUT`], and [`OBJECT_TIMEOUT`] after the object began.
+    /// Waits for the next piece of the body. Between two objects, the piece must arrive within
+    /// `idle_timeout`. Within an object, it must arrive within [`STALL_TIMEOUT`], and at the latest
+    /// [`OBJECT_TIMEOUT`] after the object began.
     ///
     /// # Errors
     /// Returns an error if no piece arrives in time, the body has ended or the connection fails.
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -76,7 +76,8 @@
     /// The revision up to which all changes are known. If it is `None`, a complete list must be read next.
     revision: Option<u64>,
     backoff: Duration,
-    /// The time since which the agent has responded to watch requests without sending a byte on a watch.
+    /// When the agent began to respond to watch requests without sending a byte on any watch; `None` while it
+    /// does not behave like this.
     stale_since: Option<Instant>,
 }
 
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -171,8 +171,9 @@
     }
 }
 
-/// Derives the numeric id of a server, which is the same at every gateway: the eight hexadecimal digits after
-/// the last hyphen of its id in the list, or else the 32-bit FNV-1a hash of that id.
+/// Derives the numeric id of a server, which is the same at every gateway. If the part of its id in the list
+/// after the last hyphen (without a hyphen, the whole id) is a hexadecimal number of eight characters, the
+/// result is that number. Otherwise the result is the 32-bit FNV-1a hash of the whole id.
 fn server_id(id: &str) -> ServerId {
     const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
     const FNV_PRIME: u32 = 0x0100_0193;
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -101,8 +101,8 @@
 
     /// Handles the end of an attempt that its task reports. The report is ignored if the attempt has already
     /// ended by its timeout or by cancellation.
-    pub fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>) {
-        let attempt = AttemptId { request: id, number: attempt };
+    pub fn attempt_ended(self: &Rc<Self>, id: RequestId, number: u8, outcome: Outcome, body: Option<Bytes>) {
+        let attempt = AttemptId { request: id, number };
         if !self.requests.borrow().is_in_flight(attempt) {
             return;
         }
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -136,7 +136,8 @@
         self.requests.iter().filter(|(_, request)| !request.is_complete()).map(|(id, _)| *id)
     }
 
-    /// Sends a request its final answer, unless the request is complete.
+    /// Sends a request's final answer to the task that serves its client, unless the request is already
+    /// complete.
     pub fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(responder) = self.complete(id) {
             // Sending fails if the client has just disconnected. The client then needs no answer, and its
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -17,7 +17,7 @@
     /// The request has to wait for the counter, for the refill of the ceiling or until another attempt of its
     /// tenant has ended.
     Queue,
-    /// The quota of the request's tenant is used up.
+    /// The quota of the request's tenant does not admit the request.
     Reject,
 }
 
--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -2,8 +2,8 @@
 //! probabilistic suppression on a sliding window that the gateways share through the counter.
 //!
 //! Requests beyond the quota are rejected with probability 1 − rate / perceived rate. Once the demand reaches
-//! a hard multiple of the quota, all requests beyond the quota are rejected. Source: last section of
-//! `docs/GLOSSARY.md`.
+//! [`HARD_LIMIT_FACTOR`] times the quota, all requests beyond the quota are rejected. The last section of
+//! `docs/GLOSSARY.md` names the source of this algorithm.
 
 use super::counter_health::is_congested;
 use super::counter_key::{counter_key, period_at};
@@ -28,7 +28,7 @@
 /// the unsent units of a gateway never amount to much of the burst.
 const MAX_BATCH_FACTOR: f64 = 4.0;
 /// Reduction of the backoff factor's exponent for a tenant at its quota. Such a tenant backs off less because
-/// stale usage costs most there.
+/// outdated usage does the most harm near the quota.
 const NEAR_QUOTA_BACKOFF_REDUCTION: f64 = 0.8;
 /// Share of the burst kept free, once demand reaches the quota, for units that other gateways have forwarded
 /// and this gateway has not read yet.
@@ -68,7 +68,7 @@
     Calls(Vec<DueCall>),
 }
 
-/// Usage of a quota, counted by this gateway and synchronised with the counter in batches.
+/// Usage of a quota, counted by this gateway and synchronized with the counter in batches.
 pub(super) struct BatchedUsage {
     quota: Quota,
     window: SlidingWindow,
@@ -76,7 +76,7 @@
     not_forwarded: CounterSync,
     last_sync: Millis,
     cached_rejection_probability: Option<CachedRejectionProbability>,
-    /// Units missing from the tenant's token bucket until it is full.
+    /// Units by which the tenant's token bucket is below its full size.
     bucket_deficit: f64,
     /// The first call to the counter has ended, with or without a reply.
     first_read_done: bool,
@@ -118,9 +118,9 @@
     /// Counts a request that this gateway forwarded or did not forward.
     ///
     /// If the last read is older than `max_cache_age`, because the counter is unresponsive or too congested
-    /// for this tenant to be read, the other gateways are assumed to count their shares at the same time.
-    /// Otherwise each gateway would grant the full quota. The cost is that requests within the quota are
-    /// rejected if traffic moves to this gateway in the meantime. The next read corrects the assumption.
+    /// for this tenant to be read, the other gateways are assumed to count units in proportion to their
+    /// shares. Otherwise each gateway would grant the full quota. The cost is that requests within the quota
+    /// are rejected if traffic moves to this gateway in the meantime. The next read corrects the assumption.
     pub(super) fn record(
         &mut self,
         now: Millis,
@@ -205,7 +205,7 @@
         (self.bucket_deficit + units - self.quota.burst).max(0.0)
     }
 
-    // ---- Synchronisation with the counter -----------------------------------------------------
+    // ---- Synchronization with the counter -----------------------------------------------------
 
     /// Whether a call to the counter is in flight.
     pub(super) fn has_pending_calls(&self) -> bool {
@@ -221,7 +221,8 @@
 
     /// Begins the counter calls that are due now. The first call does not wait for a full batch, because it
     /// also reads the units that other gateways have sent. While the counter is congested, the first call
-    /// waits until the tenant's unsent units are enough to matter for its quota.
+    /// waits until the unsent units are a noticeable part of the tenant's quota: the more congested the
+    /// counter, the more units.
     pub(super) fn sync(&mut self, now: Millis, tenant: TenantId, backoff_factor: f64) -> SyncStatus {
         let unsent = self.forwarded.unsent() + self.not_forwarded.unsent();
         let backoff = self.backoff_factor(backoff_factor);
@@ -306,7 +307,7 @@
     }
 
     /// Counts other gateways' units, less those already assumed, spread evenly over the time since the
-    /// previous read.
+    /// previous read. Units from before the sliding window are dropped.
     fn distribute_remote_units(&mut self, now: Millis, disposition: Disposition, remote: RemoteUnits) {
         let mut units = remote.units;
         if disposition == Disposition::Forwarded {
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,12 +1,13 @@
 //! The concurrency limit: the number of attempts that this gateway may have in flight. Response times control
-//! the limit by additive increase and multiplicative decrease (AIMD).
+//! the limit by additive increase and multiplicative decrease (AIMD). A gateway that uses a subset of the
+//! servers increases the limit multiplicatively too.
 
 use crate::ids::Millis;
 
-/// Initial limit, in attempts per server over all gateways. A gateway that uses a subset of the servers also
-/// never raises its limit above this.
+/// Initial limit: attempts in flight to each server, summed over all gateways. For a gateway that uses a
+/// subset of the servers, this is also the upper bound of the limit.
 const INITIAL_ATTEMPTS_PER_SERVER: f64 = 8.0;
-/// Lower bound of the limit, in attempts per server over all gateways.
+/// Lower bound of the limit: attempts in flight to each server, summed over all gateways.
 const MIN_ATTEMPTS_PER_SERVER: f64 = 2.0;
 /// Lower bound of the limit of a gateway that uses all servers, in attempts.
 const MIN_LIMIT: f64 = 2.0;
@@ -16,7 +17,7 @@
 const MAX_LATENCY_RATIO: f64 = 2.0;
 /// Share of the limit that must be in use before the limit increases.
 const INCREASE_UTILIZATION: f64 = 0.6;
-/// Share of the limit below which hedged requests may be sent.
+/// Hedged requests may be sent while less than this share of the limit is in use.
 const HEDGE_UTILIZATION: f64 = 0.8;
 
 /// How strongly one response time changes the state of the limit.
@@ -80,7 +81,7 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// Adjusts the limit by the response time of an attempt that has ended, ms.
+    /// Adjusts the limit after an attempt has ended with the response time `latency`, ms.
     pub(super) fn record_latency(
         &mut self,
         now: Millis,
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -50,7 +50,7 @@
 
     // ---- Outgoing calls -----------------------------------------------------------------------
 
-    /// Synchronises a tenant's units with the counter, if a call is due.
+    /// Synchronizes a tenant's units with the counter, if a call is due.
     pub(super) fn sync_counter(&mut self, now: Millis, tenant_id: TenantId) {
         if !self.may_call_counter(now) {
             return;
@@ -84,25 +84,25 @@
     /// Reserves units on the counter for a request of a low-traffic tenant. While the counter is congested,
     /// only some requests, chosen at random, make a reservation. A request needs no call while a fresh read
     /// is cached.
-    pub(super) fn reserve_on_counter(&mut self, now: Millis, in_flight: &mut TrackedRequest) {
+    pub(super) fn reserve_on_counter(&mut self, now: Millis, tracked: &mut TrackedRequest) {
         let roll = uniform(&mut self.rng);
         if !self.may_call_counter(now) {
             return;
         }
         let backoff_factor = self.counter_health.backoff_factor();
-        let tenant = in_flight.request.tenant;
-        let units = in_flight.request.units;
+        let tenant = tracked.request.tenant;
+        let units = tracked.request.units;
         let Some(usage) = self.low_traffic_usage(tenant) else { return };
         if let Some(usage_with_request) = usage.fresh_usage_with(now, units) {
-            in_flight.quota_check.observed_usage = Some(usage_with_request);
+            tracked.quota_check.observed_usage = Some(usage_with_request);
             return;
         }
         let call_probability = usage.call_probability(backoff_factor);
         if roll < call_probability {
             let (reservation, add) = usage.begin_reservation(now, tenant, units, call_probability);
-            in_flight.quota_check.reservation = Some(reservation);
-            in_flight.quota_check.awaiting_counter = true;
-            self.call_counter_for_low_traffic(tenant, reservation.key, add, Some(in_flight.request.id));
+            tracked.quota_check.reservation = Some(reservation);
+            tracked.quota_check.awaiting_counter = true;
+            self.call_counter_for_low_traffic(tenant, reservation.key, add, Some(tracked.request.id));
         }
     }
 
@@ -167,10 +167,10 @@
 
     /// Handles the end of the counter call that made a request's reservation; `total` is `None` if it failed.
     fn reservation_replied(&mut self, now: Millis, id: RequestId, total: Option<f64>) {
-        let Some(in_flight) = self.requests.get_mut(&id) else { return };
-        let check = &mut in_flight.quota_check;
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let check = &mut tracked.quota_check;
         check.awaiting_counter = false;
-        let tenant = in_flight.request.tenant;
+        let tenant = tracked.request.tenant;
         let Some(usage) = self.tenants.get_mut(&tenant).and_then(Tenant::low_traffic_usage) else { return };
         let Some((total, reservation)) = total.zip(check.reservation) else {
             // The counter may have added the units although the call failed. The key then holds too many
@@ -178,7 +178,7 @@
             check.reservation = None;
             return;
         };
-        let reply = usage.record_total(now, tenant, reservation, in_flight.request.units, total);
+        let reply = usage.record_total(now, tenant, reservation, tracked.request.units, total);
         check.observed_usage = Some(reply.observed_usage);
         if let Some(correction) = reply.correction {
             self.call_counter_for_low_traffic(tenant, reservation.key, correction, None);
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -9,16 +9,17 @@
 use crate::ids::Millis;
 use crate::settings::Settings;
 
-/// Time-out of a counter call, as a share of the shortest latency objective of all classes.
+/// Timeout of a counter call, as a share of the shortest latency objective of all classes.
 const CALL_TIMEOUT_SHARE: f64 = 0.25;
-/// Upper bound of the time-out of a counter call, ms, unless [`Settings::counter_timeout`] is longer.
+/// Upper bound of the timeout of a counter call, ms, unless [`Settings::counter_timeout`] is longer.
 const MAX_CALL_TIMEOUT: Millis = 800.0;
 /// Longest pause between calls to an unresponsive counter, ms. The gateway notices within this time that the
 /// counter has recovered.
 const MAX_RETRY_PAUSE: Millis = 800.0;
-/// The counter counts as unresponsive when a call fails and no call was answered for this long, ms.
+/// The counter is considered unresponsive when a call fails and no call has succeeded for this long, ms, or
+/// no call has succeeded yet. A rejection is not a success.
 const UNRESPONSIVE_AFTER: Millis = 1000.0;
-/// The counter counts as congested while the backoff factor is above this value.
+/// The counter is considered congested while the backoff factor is above this value.
 const CONGESTION_THRESHOLD: f64 = 1.5;
 /// While the counter is congested, a tenant's usage as last read is trusted up to this age, ms.
 const MAX_CACHE_AGE: Millis = 1500.0;
@@ -30,8 +31,8 @@
 /// Gain per reply with which the baseline latency rises when the counter has become slower.
 const BASELINE_GAIN: f64 = 0.01;
 /// Step of the backoff factor's logarithm for one reply: minus this value for a reply without queueing delay,
-/// plus this value for a reply with twice the target delay. Larger steps would make the number of units that
-/// a reservation stands for fluctuate.
+/// plus this value for a reply with twice the target delay. Larger steps would make the size of the
+/// reservations fluctuate.
 const BACKOFF_GAIN: f64 = 0.02;
 /// Upper bound on the excess of one reply's queueing delay over the target, in multiples of the target.
 const MAX_EXCESS_DELAY: f64 = 2.0;
@@ -43,8 +44,9 @@
 /// The step is large because after a surge the gateway makes few calls from which it could learn of the spare
 /// capacity.
 const FAST_REPLY_STEP: f64 = 0.1;
-/// A failed call multiplies the backoff factor by this value to the power of the consecutive rejections. One
-/// rejection may be chance; several show that the gateways make far too many calls.
+/// A rejected call multiplies the backoff factor by this value to the power of the number of consecutive
+/// rejections, another failed call by this value itself. One rejection may be chance; several show that the
+/// gateways make far too many calls.
 const BACKOFF_RAISE_FACTOR: f64 = 1.4;
 /// Upper bound on the exponent of [`BACKOFF_RAISE_FACTOR`].
 const MAX_CONSECUTIVE_REJECTIONS: u32 = 4;
@@ -53,7 +55,7 @@
 /// Failed calls raise the backoff factor at most once in this time, ms, because calls tend to fail together.
 const BACKOFF_RAISE_INTERVAL: Millis = 200.0;
 
-/// Time-out of a call to the counter, ms. The time-out is at least [`Settings::counter_timeout`], and longer
+/// Timeout of a call to the counter, ms. The timeout is at least [`Settings::counter_timeout`], and longer
 /// if the latency objectives leave time, because a late reply is still useful.
 pub fn counter_call_timeout(settings: &Settings) -> Millis {
     let objectives = settings.classes.iter().map(|class| class.latency_objective);
@@ -66,7 +68,8 @@
     /// [`Settings::counter_timeout`], ms. The target queueing delay is a share of it.
     timeout: Millis,
     last_reply_at: Option<Millis>,
-    /// A call has failed, and no call was answered in the last [`UNRESPONSIVE_AFTER`] ms.
+    /// A call has failed, and no call had succeeded in the [`UNRESPONSIVE_AFTER`] ms before. Reset by the
+    /// next call that succeeds.
     unresponsive: bool,
     /// Pause between calls to an unresponsive counter, ms.
     retry_pause: Millis,
@@ -148,14 +151,15 @@
             .map_or(elapsed, |baseline| (baseline + (elapsed - baseline) * BASELINE_GAIN).min(elapsed));
         self.baseline_latency = Some(baseline);
         let target = (TARGET_QUEUEING_DELAY_SHARE * self.timeout).max(MIN_TARGET_QUEUEING_DELAY);
-        let queueing_delay = (elapsed - baseline) / target;
+        // The queueing delay as a multiple of the target.
+        let delay_ratio = (elapsed - baseline) / target;
         self.consecutive_rejections = 0;
         self.consecutive_fast_replies =
-            if queueing_delay < FAST_REPLY_SHARE { self.consecutive_fast_replies + 1 } else { 0 };
+            if delay_ratio < FAST_REPLY_SHARE { self.consecutive_fast_replies + 1 } else { 0 };
         let step = if self.consecutive_fast_replies >= MIN_CONSECUTIVE_FAST_REPLIES {
             -FAST_REPLY_STEP
         } else {
-            BACKOFF_GAIN * (queueing_delay - 1.0).min(MAX_EXCESS_DELAY)
+            BACKOFF_GAIN * (delay_ratio - 1.0).min(MAX_EXCESS_DELAY)
         };
         self.backoff_factor *= step.exp();
     }
--- a/src/policy/counter_sync.rs
+++ b/src/policy/counter_sync.rs
@@ -1,4 +1,4 @@
-//! Synchronisation of one counter of a tenant: the units that this gateway has sent to the counter service,
+//! Synchronization of one counter of a tenant: the units that this gateway has sent to the counter service,
 //! and the total that it last read from the service.
 
 use super::counter_key::COUNTER_KEY_PERIOD;
@@ -23,7 +23,7 @@
     pub(super) since: Millis,
 }
 
-/// Synchronisation state of one counter: one tenant's units of one disposition.
+/// Synchronization state of one counter: one tenant's units of one disposition.
 pub(super) struct CounterSync {
     /// Units that have not been sent to the counter.
     unsent: f64,
@@ -124,7 +124,8 @@
         let rise = (total - base - sent).max(0.0);
         let arrived = rise.min(self.unacknowledged);
         if base > 0.0 || self.last_total == 0.0 {
-            // Units that did not reach the counter are sent again, once.
+            // Units that did not reach the counter are sent again, unless a restart of the counter has also
+            // lost the earlier total.
             self.unsent += self.unacknowledged - arrived;
         }
         self.unacknowledged = 0.0;
--- a/src/policy/disposition.rs
+++ b/src/policy/disposition.rs
@@ -7,6 +7,6 @@
 pub(super) enum Disposition {
     /// Forwarded to a server.
     Forwarded,
-    /// Not forwarded: the request was rejected or shed, or its client disconnected before it was forwarded.
+    /// Not forwarded: the request was rejected, or its client disconnected, before it was forwarded.
     NotForwarded,
 }
--- a/src/policy/endpoint_block.rs
+++ b/src/policy/endpoint_block.rs
@@ -28,7 +28,7 @@
 /// A server of a block and what the index stores with it.
 #[derive(Default)]
 pub(super) struct Slot {
-    pub(super) tracked: TrackedEndpoint,
+    pub(super) tracked_endpoint: TrackedEndpoint,
     /// Sort key of the server in the gateway's own order.
     pub(super) key: u64,
     pub(super) health: HealthState,
@@ -85,7 +85,7 @@
 
     /// Sets the locality bits of the server at `slot` to the zone and cell of its list entry.
     pub(super) fn update_localities(&mut self, slot: usize) {
-        let endpoint = &self.slots[slot].tracked.endpoint;
+        let endpoint = &self.slots[slot].tracked_endpoint.endpoint;
         let localities = [Locality::Zone(endpoint.zone), Locality::Cell(endpoint.cell)];
         let bit = 1 << slot;
         if localities.iter().all(|locality| self.members_of(*locality) & bit != 0) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Inserts a server at `slot` and moves the servers from `slot` on up by one.
+    /// Inserts a server at `slot`. The servers at `slot` and above move up by one slot.
     pub(super) fn insert(&mut self, slot: usize, new_slot: Slot) {
         for mask in self.masks() {
             *mask = *mask & bits_below(slot) | (*mask & !bits_below(slot)) << 1;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Moves the servers from slot [`MERGE_SIZE`] on to a new block and returns that block.
+    /// Moves the servers at slot [`MERGE_SIZE`] and above into a new block and returns that block.
     pub(super) fn split_off(&mut self) -> Block {
         let slots = self.slots.split_off(MERGE_SIZE);
         let mut upper =
--- a/src/policy/endpoint_health.rs
+++ b/src/policy/endpoint_health.rs
@@ -61,14 +61,14 @@
 }
 
 impl TrackedEndpoint {
-    /// Applies the server's list entry. A new or restarted server starts with `fleet_latency` as its mean and
-    /// without the earlier records, except for the attempts to the old process that are still in flight.
-    pub(super) fn update(&mut self, now: Millis, endpoint: Endpoint, fleet_latency: MeanLatency) {
+    /// Applies the server's list entry. A new or restarted server starts with `overall_latency` as its mean
+    /// and without the earlier records, except for the attempts to the old process that are still in flight.
+    pub(super) fn update(&mut self, now: Millis, endpoint: Endpoint, overall_latency: MeanLatency) {
         let restarted = self.endpoint.started != endpoint.started;
         if self.last_sample_at.is_none() || restarted {
             *self = TrackedEndpoint {
                 in_flight: self.in_flight,
-                mean_latency: fleet_latency,
+                mean_latency: overall_latency,
                 last_sample_at: Some(now),
                 slow_start_tokens: SlowStartTokens::empty_at(endpoint.started),
                 ..TrackedEndpoint::default()
@@ -160,7 +160,8 @@
         let ejected_until = self.ejected_until.filter(|until| *until > now);
         let started = self.endpoint.started;
         let warm_at = (!slow_start.is_warm(now, started)).then(|| slow_start.warm_at(started));
-        // While attempts are in flight after an ejection, nothing shows yet that the failures have ended.
+        // After an ejection, the server stays unhealthy while attempts are in flight, because only their
+        // outcomes show whether it has recovered.
         let may_have_recovered = self.consecutive_failures < FAILURES_TO_EJECT || self.in_flight < 1.0;
         let state = HealthState {
             ready: self.endpoint.state == EndpointState::Ready,
--- a/src/policy/endpoint_index.rs
+++ b/src/policy/endpoint_index.rs
@@ -106,13 +106,13 @@
     }
 
     pub(super) fn at(&self, position: EndpointPosition) -> &TrackedEndpoint {
-        &self.blocks[position.block].slots[position.slot].tracked
+        &self.blocks[position.block].slots[position.slot].tracked_endpoint
     }
 
     /// Mutable access to a server. After a change that affects its health or localities, the caller has to
     /// call [`EndpointIndex::set_health`] or [`EndpointIndex::update_localities`].
     pub(super) fn at_mut(&mut self, position: EndpointPosition) -> &mut TrackedEndpoint {
-        &mut self.blocks[position.block].slots[position.slot].tracked
+        &mut self.blocks[position.block].slots[position.slot].tracked_endpoint
     }
 
     /// Finds a server, or inserts it with default health, and marks it as part of the current complete list.
@@ -146,19 +146,19 @@
         self.blocks[position.block].update_localities(position.slot);
     }
 
-    /// Sets the health of a server and updates masks and counts. `until` is the next time at which the health
-    /// may change without an event.
+    /// Sets the health of a server and updates masks and counts. `next_transition` is the next time at which
+    /// the health may change without an event.
     pub(super) fn set_health(
         &mut self,
         position: EndpointPosition,
         health: HealthState,
-        until: Option<Millis>,
+        next_transition: Option<Millis>,
     ) {
         let block = &mut self.blocks[position.block];
         let slot = &mut block.slots[position.slot];
         let key = slot.key;
         let old_health = std::mem::replace(&mut slot.health, health);
-        let transition = until.map(time_bits);
+        let transition = next_transition.map(time_bits);
         let old_transition = std::mem::replace(&mut slot.next_transition, transition);
         if old_health != health {
             block.update_health_bits(position.slot);
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -26,9 +26,9 @@
 /// Minimum number of servers in the subset.
 const MIN_SUBSET_SIZE: f64 = 8.0;
 /// Weight of a new response time in the moving average over all servers.
-const FLEET_LATENCY_GAIN: f64 = 0.02;
+const OVERALL_LATENCY_GAIN: f64 = 0.02;
 /// Lower bound, in ms, of the mean response time over all servers in the calculation of costs.
-const MIN_FLEET_LATENCY: Millis = 1.0;
+const MIN_OVERALL_LATENCY: Millis = 1.0;
 /// Time constant, in ms, with which the latency assumed for a server without new samples returns to the mean
 /// over all servers.
 const LATENCY_DECAY_TIME: Millis = 4000.0;
@@ -122,8 +122,8 @@
     /// Updates the health of a server in the index, and the next time at which that health may change without
     /// an event.
     fn refresh_health(&mut self, now: Millis, position: EndpointPosition) {
-        let (health, until) = self.index.at(position).health(now, &self.slow_start);
-        self.index.set_health(position, health, until);
+        let (health, next_transition) = self.index.at(position).health(now, &self.slow_start);
+        self.index.set_health(position, health, next_transition);
     }
 
     /// Records that an attempt was sent to a server.
@@ -144,7 +144,7 @@
         let Some(position) = self.index.find(server) else { return };
         self.index.at_mut(position).record_outcome(now, outcome, elapsed, self.subset_active);
         if outcome == Outcome::Ok {
-            self.mean_latency.record(elapsed, FLEET_LATENCY_GAIN);
+            self.mean_latency.record(elapsed, OVERALL_LATENCY_GAIN);
         }
         self.refresh_health(now, position);
     }
@@ -224,8 +224,9 @@
         let allowed = self.allowed_servers(request);
         let excluded = self.excluded_servers(request);
         let rate_per_server = send_rate / self.index.warm().max(1) as f64;
-        // Ejection applies while at least half of the fleet is healthy. Otherwise the failures are assumed to
-        // have a common cause, and of the unhealthy servers only the unreachable ones are excluded.
+        // Ejection applies while there are at least half as many healthy servers as ready ones. Otherwise the
+        // failures are assumed to have a common cause, and of the unhealthy servers only the unreachable ones
+        // are excluded.
         let ejection_active = 2 * self.index.healthy() >= self.index.ready();
         let mut candidates = std::mem::take(&mut self.candidates);
         candidates.reset(max_size);
@@ -300,16 +301,16 @@
         let jitter = 1.0 + COST_JITTER * draws.at(candidate.rank);
         let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started);
         let cost = |latency: Millis| latency * (1.0 + tracked.in_flight()) * jitter / capacity_fraction;
-        let fleet_latency = self.mean_latency.get().unwrap_or(0.0).max(MIN_FLEET_LATENCY);
-        let server_latency = tracked.mean_latency().unwrap_or(fleet_latency);
+        let overall_latency = self.mean_latency.get().unwrap_or(0.0).max(MIN_OVERALL_LATENCY);
+        let server_latency = tracked.mean_latency().unwrap_or(overall_latency);
         // The latency in the cost lies between the server's own mean and the mean over all servers. For most
         // candidates, even the lower of the two gives too high a cost, so the decay need not be computed.
-        if cost(server_latency.min(fleet_latency)) * ROUNDING_MARGIN > cheapest.cost {
+        if cost(server_latency.min(overall_latency)) * ROUNDING_MARGIN > cheapest.cost {
             return;
         }
         let decay_factor = if self.subset_active { SUBSET_DECAY_FACTOR } else { 1.0 };
         let sample_weight = (-tracked.sample_age(now) / (LATENCY_DECAY_TIME * decay_factor)).exp();
-        let cost = cost(fleet_latency + (server_latency - fleet_latency) * sample_weight);
+        let cost = cost(overall_latency + (server_latency - overall_latency) * sample_weight);
         if cheapest.server.is_none() || cost < cheapest.cost {
             *cheapest = Cheapest { cost, server: Some(tracked.endpoint.server) };
         }
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -10,9 +10,10 @@
 //! call, and each call reserves units for the other requests too. A request for which there is neither a call
 //! nor a recent read is rejected with a probability equal to the tenant's recent rejection ratio.
 //!
-//! This prevents gateways that each estimate a rate from all admitting the same excess units, or all
-//! rejecting requests for the same unused units. It also works with skewed traffic, spikes, and restarts that
-//! lose all state. The cost is a counter call for each request for which no recent read is cached.
+//! If each gateway estimated the tenant's rate by itself, all of them could admit the same excess units, or
+//! all reject requests while the same units are unused. Reservations on the counter prevent this. They also
+//! work with skewed traffic, spikes, and restarts that lose all state. The cost is a counter call for each
+//! request for which no recent read is cached.
 
 use super::batched_usage::SYNC_INTERVAL;
 use super::counter_key::{counter_key, period_at, COUNTER_KEY_PERIOD};
@@ -28,12 +29,12 @@
 /// Lower bound of the call probability for a tenant with a ceiling, unless the probability for other tenants
 /// is smaller.
 const MIN_CALL_PROBABILITY: f64 = 0.1;
-/// A total that is below the refilled units by more than this share of the burst is raised to them. Without
-/// this correction, units that have accumulated beyond the burst would be admitted at once. Smaller
+/// A total that is below the refilled units by more than this multiple of the burst is raised to them.
+/// Without this correction, units that have accumulated beyond the burst would be admitted at once. Smaller
 /// differences are not corrected, which saves calls.
 const MAX_TOTAL_LAG: f64 = 1.0;
-/// A total that is above the refilled units by more than this share of the burst is lowered until it exceeds
-/// them by this share. Such a total arises when two gateways raise it at the same time.
+/// A total that is above the refilled units by more than this multiple of the burst is lowered until it
+/// exceeds them by this multiple. Such a total arises when two gateways raise it at the same time.
 const MAX_TOTAL_LEAD: f64 = 2.0;
 /// Gain with which a decision that is based on a read changes the recent rejection ratio.
 const REJECTION_RATIO_GAIN: f64 = 0.3;
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -29,7 +29,7 @@
             let id = queued.id;
             let limit = self.concurrency.limit();
             // A gateway that uses a subset of the servers may queue a request because no server of the subset
-            // can accept it, although the concurrency limit is not reached. This is no overload.
+            // can accept it, although the concurrency limit is not reached. This is not an overload.
             let is_bounded = !self.selector.subset_active() || self.concurrency.is_exhausted();
             if is_bounded && position as f64 > MAX_QUEUE_SHARE * limit {
                 self.reject_or_fail(now, id);
@@ -58,7 +58,8 @@
     }
 
     /// Value of a request per millisecond of service time. Of otherwise equal requests the newer one has the
-    /// higher value, because under overload the oldest requests would just miss their latency objective.
+    /// higher value, because under overload, requests that are forwarded oldest first would all narrowly miss
+    /// their latency objective.
     fn request_value(&self, now: Millis, id: RequestId) -> Option<f64> {
         let tracked = self.requests.get(&id)?;
         let plan = self.settings.plans.get(tracked.request.plan.0);
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -60,7 +60,8 @@
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
-    /// Timeout of an attempt that starts now, ms. It ends when a response no longer has any value.
+    /// Timeout of an attempt that starts now, ms. The attempt times out when a response no longer has any
+    /// value.
     pub(super) fn attempt_timeout(&self, now: Millis) -> Millis {
         let until = if self.class.late_value > 0.0 { self.deadline_at } else { self.objective_at };
         (until - now).max(1.0)
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -11,7 +11,7 @@
 use crate::event::{Outcome, Request};
 use crate::ids::{ClassId, Millis, RequestId};
 
-/// Gain of one response time in the mean response time of its class.
+/// Weight of a new response time in the moving average of its class.
 const CLASS_LATENCY_GAIN: f64 = 0.03;
 
 impl Gateway {
@@ -98,8 +98,8 @@
         let request = &tracked.request;
         let tenant = self.tenants.get(&request.tenant);
         let ceiling_wait = tenant.map_or(0.0, |tenant| tenant.ceiling.time_until_available(request.units));
-        let service_time = 2.0 * (self.class_latency(request.class) + HOUSEKEEPING_INTERVAL);
-        tracked.objective_at - now >= service_time + ceiling_wait
+        let required_time = 2.0 * (self.class_latency(request.class) + HOUSEKEEPING_INTERVAL);
+        tracked.objective_at - now >= required_time + ceiling_wait
     }
 
     // ---- Attempts -----------------------------------------------------------------------------
--- a/src/policy/send_rate.rs
+++ b/src/policy/send_rate.rs
@@ -5,7 +5,7 @@
 /// Time constant of the decay, in ms.
 const TIME_CONSTANT: Millis = 2000.0;
 
-/// The rate of first attempts.
+/// Decaying average of the number of first attempts per millisecond.
 #[derive(Default)]
 pub(super) struct SendRate {
     per_ms: f64,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,8 +1,9 @@
 //! Slow start: limits the attempts that this gateway sends to a server that has just started.
 //!
-//! Each gateway sends a starting server at most its own mean rate per warm server, scaled by the share of its
-//! capacity that the server has at least reached. Without this limit, a burst or the combined traffic of all
-//! gateways could overload a server that has only part of its capacity.
+//! Each gateway limits its attempts to a starting server. The limit is the mean rate at which the gateway
+//! sends first attempts to a warm server, or [`MIN_RATE_PER_SERVER`] if that is more, times the share of its
+//! full capacity that the server has reached for certain. Without this limit, a burst or the combined traffic
+//! of all gateways could overload a server that has only part of its capacity.
 
 use crate::ids::Millis;
 use crate::settings::Settings;
@@ -25,8 +26,8 @@
         SlowStart { initial_capacity: settings.slow_start_capacity, window: settings.slow_start_window }
     }
 
-    /// Share of its full capacity that a server started at `started` has at least reached by `now`. A
-    /// `started` of 0 means that the server started long ago.
+    /// Lower bound of the share of its full capacity that a server started at `started` has reached by `now`.
+    /// A `started` of 0 means that the server started long ago.
     pub(super) fn capacity_fraction(&self, now: Millis, started: Millis) -> f64 {
         let age = now - started;
         if started <= 0.0 || age >= self.window {
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -14,19 +14,19 @@
 /// old units of the same key again. A much longer time would keep every tenant that sends a single request in
 /// memory.
 const EVICT_IDLE_AFTER: Millis = COUNTER_KEY_PERIOD;
-/// A tenant without a ceiling is a low-traffic tenant if one gateway's part of the burst is below this share
-/// of the largest request: the gateway then receives too few of its requests to count them in batches.
-const LOW_TRAFFIC_SHARE: f64 = 0.75;
-/// A tenant with a ceiling is a low-traffic tenant if one gateway's part of the burst is below this multiple
-/// of the largest request.
-const LOW_TRAFFIC_SHARE_WITH_CEILING: f64 = 2.0;
+/// A tenant without a ceiling is a low-traffic tenant if one gateway's part of the burst is below this factor
+/// times the largest request: the gateway then receives too few of its requests to count them in batches.
+const LOW_TRAFFIC_FACTOR: f64 = 0.75;
+/// A tenant with a ceiling is a low-traffic tenant if one gateway's part of the burst is below this factor
+/// times the largest request.
+const LOW_TRAFFIC_FACTOR_WITH_CEILING: f64 = 2.0;
 
 /// How the gateway tracks a tenant's usage of its quota.
 pub(super) enum Usage {
     /// The gateway counts units itself and sends them to the counter in batches.
     Batched(BatchedUsage),
-    /// The gateway reserves units on the counter with one call per request, because it receives too few of
-    /// the tenant's requests to estimate the usage itself.
+    /// The gateway reserves units on the counter for individual requests, because it receives too few of the
+    /// tenant's requests to estimate the usage itself.
     LowTraffic(LowTrafficUsage),
 }
 
@@ -140,16 +140,16 @@
     /// refilled, and none of its attempts or counter calls is in flight.
     pub(super) fn is_evictable(&self, now: Millis) -> bool {
         let quota_refill = if self.has_quota() { 1000.0 * self.plan.burst / self.plan.rate } else { 0.0 };
-        let rest = quota_refill.max(self.ceiling.refill_time()).max(EVICT_IDLE_AFTER);
+        let required_idle_time = quota_refill.max(self.ceiling.refill_time()).max(EVICT_IDLE_AFTER);
         let has_pending_calls = match &self.usage {
             Usage::Batched(usage) => usage.has_pending_calls(),
             Usage::LowTraffic(usage) => usage.has_pending_calls(),
         };
-        now - self.last_seen >= rest && self.in_flight <= 0.0 && !has_pending_calls
+        now - self.last_seen >= required_idle_time && self.in_flight <= 0.0 && !has_pending_calls
     }
 }
 
 fn is_low_traffic(plan: &Plan, gateway_count: f64, max_units: f64) -> bool {
-    let share = if plan.ceiling_rate > 0.0 { LOW_TRAFFIC_SHARE_WITH_CEILING } else { LOW_TRAFFIC_SHARE };
-    plan.rate > 0.0 && plan.burst < share * gateway_count * max_units
+    let factor = if plan.ceiling_rate > 0.0 { LOW_TRAFFIC_FACTOR_WITH_CEILING } else { LOW_TRAFFIC_FACTOR };
+    plan.rate > 0.0 && plan.burst < factor * gateway_count * max_units
 }
--- a/tests/unit/endpoint_index.rs
+++ b/tests/unit/endpoint_index.rs
@@ -15,7 +15,7 @@
 fn check_block(block: &Block, expected: &BTreeMap<u32, HealthState>) {
     assert!((1..=BLOCK_CAPACITY).contains(&block.slots.len()) && block.first_key == block.slots[0].key);
     for (i, slot) in block.slots.iter().enumerate() {
-        let health = expected[&slot.tracked.endpoint.server.0];
+        let health = expected[&slot.tracked_endpoint.endpoint.server.0];
         let bit = |mask: u64| mask >> i & 1 == 1;
         assert_eq!(bit(block.available), health.ready && !health.paused && health.healthy);
         assert_eq!(
@@ -23,7 +23,7 @@
             health.ready && !health.paused && !health.healthy && health.reachable
         );
         assert_eq!(bit(block.slow_starting), !health.warm);
-        let endpoint = &slot.tracked.endpoint;
+        let endpoint = &slot.tracked_endpoint.endpoint;
         let own = [Locality::Zone(endpoint.zone), Locality::Cell(endpoint.cell)];
         for mask in &block.localities {
             assert_eq!(bit(mask.members), own.contains(&mask.locality));
