--- a/capacity/src/deployment.rs
+++ b/capacity/src/deployment.rs
@@ -81,7 +81,7 @@
             Plan { rate, burst: BURST_SECONDS * rate, priority_multiplier: 1.0, ..Plan::default() }
         };
         Settings {
-            gateway_count: self.gateways as f64,
+            fleet_gateway_count: self.gateways as f64,
             classes: vec![class],
             plans: (0..PLAN_COUNT).map(plan).collect(),
             max_units: 1.0,
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration file, whose path is in the environment variable `PROXY_CONFIG`.
+//! Reads the configuration file of the gateway process.
 
 use super::error::ConfigError;
 use super::key_values::KeyValues;
--- a/src/config/settings_reader.rs
+++ b/src/config/settings_reader.rs
@@ -20,7 +20,7 @@
     Ok(Settings {
         classes: read_classes(values)?,
         plans: read_plans(values)?,
-        gateway_count: values.number("balancers", 1.0)?,
+        fleet_gateway_count: values.number("balancers", 1.0)?,
         max_units: values.number("family_info.max_units", 1.0)?,
         max_attempts: values.number("ceilings.max_attempts", 0.0)? as u32,
         hedging_allowed: values.flag("ceilings.parallel_tries"),
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -15,13 +15,14 @@
 /// bytes. The protocol requires that a client without progress is disconnected within 3 s; the timeout is
 /// shorter because the idle reaper, which enforces it, runs only at intervals.
 pub const READ_TIMEOUT: Millis = 2000.0;
-/// Longest time to write a response, ms, to a client that does not read it.
+/// Longest time to write a response, ms. A client that does not read its response is disconnected after this
+/// time.
 const WRITE_TIMEOUT: Millis = READ_TIMEOUT;
 /// Longest time that a connection is kept open between two requests, ms. Some clients send a single request
 /// and never close.
 const IDLE_TIMEOUT: Millis = 10_000.0;
 /// Time that a new connection has for its first request during a graceful shutdown, ms; see also
-/// `MIN_ACCEPT_PERIOD` of the shutdown module.
+/// `CLOSE_IDLE_DELAY` of the shutdown module.
 const NEW_CONNECTION_GRACE: Millis = 450.0;
 /// Longest time that a closing connection waits for its client to receive the last response and close, ms.
 ///
@@ -124,13 +125,14 @@
         }
     }
 
-    /// Records that the handler has received a complete request.
+    /// Records that the handler has received a complete request, or the head of a health check, whose body is
+    /// not read.
     pub fn record_received_request(&self, now: Millis) {
         self.set_phase(Phase::Processing, now);
         self.request_heads.set(self.request_heads.get().after_request());
     }
 
-    /// Records that everything written so far has been sent.
+    /// Records that everything written so far has been passed to the socket.
     pub fn record_flushed(&self, now: Millis) {
         if self.phase() == Phase::Writing {
             let next = if self.next_request_started.take() { Phase::Reading } else { Phase::Idle };
--- a/src/net/client/connection_table.rs
+++ b/src/net/client/connection_table.rs
@@ -11,21 +11,21 @@
 #[derive(Default)]
 pub struct ConnectionTable {
     connections: RefCell<HashMap<u64, Rc<Connection>>>,
-    last_number: Cell<u64>,
+    last_id: Cell<u64>,
     removed: Notify,
 }
 
 impl ConnectionTable {
     /// Adds a connection, which stays in the table until the returned guard is dropped.
     pub fn register(self: &Rc<Self>, connection: Connection) -> RegisteredConnection {
-        let number = self.last_number.get() + 1;
-        self.last_number.set(number);
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
         let connection = Rc::new(connection);
-        self.connections.borrow_mut().insert(number, connection.clone());
-        RegisteredConnection { table: self.clone(), number, connection }
+        self.connections.borrow_mut().insert(id, connection.clone());
+        RegisteredConnection { table: self.clone(), id, connection }
     }
 
-    /// Returns the connections by number. No connection may be registered or removed while the returned
+    /// Returns the connections by id. No connection may be registered or removed while the returned
     /// borrow is held.
     pub fn entries(&self) -> Ref<'_, HashMap<u64, Rc<Connection>>> {
         self.connections.borrow()
@@ -45,7 +45,7 @@
 /// Guard that removes its connection from the table when dropped, no matter how the connection ends.
 pub struct RegisteredConnection {
     table: Rc<ConnectionTable>,
-    number: u64,
+    id: u64,
     connection: Rc<Connection>,
 }
 
@@ -58,7 +58,7 @@
 
 impl Drop for RegisteredConnection {
     fn drop(&mut self) {
-        self.table.connections.borrow_mut().remove(&self.number);
+        self.table.connections.borrow_mut().remove(&self.id);
         self.table.removed.notify_one();
     }
 }
--- a/src/net/client/headers.rs
+++ b/src/net/client/headers.rs
@@ -15,7 +15,7 @@
 pub const QUOTA: HeaderName = HeaderName::from_static("x-quota");
 /// Marks a request as a client's retry.
 pub const CLIENT_RETRY: HeaderName = HeaderName::from_static("x-repeat");
-/// Key by which servers recognise and drop repeated executions.
+/// Key by which servers recognise a repeated request, so that they do not execute it again.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// Returns the value of a header, or `None` if it is absent. Fails if the header occurs more than once or is
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -53,7 +53,7 @@
     }
 
     /// Waits until one more connection may be opened, and meanwhile evicts open connections that the
-    /// `eviction` module allows to close.
+    /// `eviction` module selects.
     async fn wait_until_below_limit(&self) {
         while self.connections.count() >= self.max_connections {
             let evicted = self.evict_one();
--- a/src/net/client/quota_header.rs
+++ b/src/net/client/quota_header.rs
@@ -12,7 +12,7 @@
     /// Maximum units of one request.
     pub max_units: f64,
     /// Number of gateways in the fleet, at least 1.
-    pub gateway_count: f64,
+    pub fleet_gateway_count: f64,
 }
 
 impl QuotaLimits {
@@ -20,7 +20,7 @@
     pub fn from_settings(settings: &Settings) -> Self {
         QuotaLimits {
             max_units: if settings.max_units > 0.0 { settings.max_units } else { DEFAULT_MAX_UNITS },
-            gateway_count: settings.gateway_count.max(1.0),
+            fleet_gateway_count: settings.fleet_gateway_count.max(1.0),
         }
     }
 }
@@ -34,8 +34,8 @@
     pub gateway_count: f64,
 }
 
-/// Parses the header. Returns `None` unless each field occurs exactly once and is within the limits. Unknown
-/// fields are skipped.
+/// Parses the header. Returns `None` unless each field occurs exactly once and is within the limits, and
+/// `spread` and `first` are integers. Unknown fields are skipped.
 pub fn parse_quota(text: &str, limits: QuotaLimits) -> Option<Quota> {
     let mut units = None;
     let mut gateway_count = None;
@@ -44,8 +44,8 @@
         let (name, value) = field.split_once('=')?;
         let (slot, range) = match name.trim() {
             "units" => (&mut units, f64::MIN_POSITIVE..=limits.max_units),
-            "spread" => (&mut gateway_count, 1.0..=limits.gateway_count),
-            "first" => (&mut first_gateway, 0.0..=limits.gateway_count - 1.0),
+            "spread" => (&mut gateway_count, 1.0..=limits.fleet_gateway_count),
+            "first" => (&mut first_gateway, 0.0..=limits.fleet_gateway_count - 1.0),
             _ => continue,
         };
         let value = parse_decimal(value).filter(|value| range.contains(value))?;
--- a/src/net/client/request_error.rs
+++ b/src/net/client/request_error.rs
@@ -1,9 +1,10 @@
-//! Errors with which a request is answered before it is admitted.
+//! Errors for which the gateway answers a request without admitting it.
 
 use hyper::StatusCode;
 use std::fmt;
 
-/// Error with which a request is answered before it is admitted. Each has a status and one line of text.
+/// The reason why the gateway answers a request without admitting it. Each response has a status and one line
+/// of text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
     /// The request has a `Transfer-Encoding`.
--- a/src/net/client/request_handler.rs
+++ b/src/net/client/request_handler.rs
@@ -88,7 +88,7 @@
         }
         check_body(&head.method, &body)?;
         let _in_flight_id = self.in_flight_ids.reserve(validated.correlation_id)?;
-        let forward = ForwardedRequest {
+        let forwarded_request = ForwardedRequest {
             method: head.method,
             uri: origin_form(head.uri),
             headers: validated.forwarded_headers,
@@ -96,14 +96,18 @@
         };
         connection.record_received_request(self.event_loop.now());
         let client = Rc::downgrade(connection.stream());
-        let answer =
-            self.admit(IncomingRequest { request: validated.request, forward, client }, connection).await;
+        let answer = self
+            .submit_and_wait(
+                IncomingRequest { request: validated.request, forwarded_request, client },
+                connection,
+            )
+            .await;
         Ok(response::from_answer(answer))
     }
 
     /// Submits a request to the event loop and waits for its answer. If the client disconnects in the
     /// meantime, the connection's task drops this future, and the guard reports the disconnect.
-    async fn admit(&self, request: IncomingRequest, connection: &Connection) -> Answer {
+    async fn submit_and_wait(&self, request: IncomingRequest, connection: &Connection) -> Answer {
         let (id, receiver) = self.event_loop.submit(request);
         let disconnect_guard = DisconnectGuard::new(&self.event_loop, id);
         let answer = match receiver.await {
--- a/src/net/client/response.rs
+++ b/src/net/client/response.rs
@@ -22,7 +22,7 @@
 }
 
 /// Builds the response to an invalid request. It closes the connection, because the bytes after an invalid
-/// request may be anything.
+/// request need not be the start of another request.
 pub fn from_error(error: RequestError) -> ClientResponse {
     let mut response = plain_text(error.status(), error.response_text());
     announce_close(&mut response);
--- a/src/net/counter/client.rs
+++ b/src/net/counter/client.rs
@@ -16,7 +16,7 @@
 const MIN_UNRESPONSIVE_AFTER: Millis = 1000.0;
 /// A connection counts as unresponsive when its oldest pending call is this many call timeouts old, if that
 /// is longer than [`MIN_UNRESPONSIVE_AFTER`].
-const UNRESPONSIVE_CALL_TIMEOUTS: f64 = 1.25;
+const UNRESPONSIVE_AFTER_CALL_TIMEOUTS: f64 = 1.25;
 
 /// Sends calls to the counter service on a few persistent connections.
 pub struct CounterClient {
@@ -32,7 +32,7 @@
         CounterClient {
             connections: Rc::new(ConnectionSet::new(address)),
             calls: Rc::default(),
-            unresponsive_after: MIN_UNRESPONSIVE_AFTER.max(UNRESPONSIVE_CALL_TIMEOUTS * call_timeout),
+            unresponsive_after: MIN_UNRESPONSIVE_AFTER.max(UNRESPONSIVE_AFTER_CALL_TIMEOUTS * call_timeout),
         }
     }
 
@@ -51,8 +51,9 @@
         }
     }
 
-    /// Changes the address of the service. Each connection takes calls until its replacement is open, and is
-    /// read until all its calls are answered, so that no call is lost or made twice.
+    /// Changes the address of the service. Each connection takes calls until its replacement is open. It then
+    /// stays open until all its calls are answered, so that the change itself causes no call to be lost or
+    /// made twice. Calls still fail if the old connection fails or becomes unresponsive.
     pub fn set_address(&self, address: Option<SocketAddr>) {
         self.connections.set_address(address);
     }
--- a/src/net/counter/connection_set.rs
+++ b/src/net/counter/connection_set.rs
@@ -7,8 +7,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Number of connections. There are several because the service answers each connection in order, so that a
-/// call to a slow shard delays the later calls on the same connection.
+/// Number of connections. There are several because the service answers the calls on one connection in the
+/// order in which it receives them, so that a call to a slow shard delays the later calls on the same
+/// connection.
 pub(super) const CONNECTION_COUNT: usize = 4;
 
 #[derive(Default)]
--- a/src/net/counter/protocol.rs
+++ b/src/net/counter/protocol.rs
@@ -52,7 +52,7 @@
     /// Parses a line without its line feed.
     ///
     /// # Errors
-    /// Returns the line if it is not a reply of the protocol.
+    /// Returns an error that contains the line if the line is not a reply of the protocol.
     pub(super) fn parse(line: &[u8]) -> Result<Self, InvalidReply> {
         let text = std::str::from_utf8(line).unwrap_or("?").trim();
         let (word, argument) = match text.split_once(' ') {
--- a/src/net/counter/reconnect.rs
+++ b/src/net/counter/reconnect.rs
@@ -86,8 +86,8 @@
 async fn connect(address: SocketAddr) -> Option<TcpStream> {
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.ok()?.ok()?;
-    // Nagle's algorithm would hold a call back until the previous one is acknowledged, which can take
-    // until its reply.
+    // Nagle's algorithm would delay a call until the previous one is acknowledged, and the service may send
+    // that acknowledgement only with its reply.
     let _ = stream.set_nodelay(true);
     Some(stream)
 }
@@ -105,7 +105,7 @@
     if let Err(error) = result {
         log::warn!(
             "connection {} to the counter service failed: {error}; its pending calls fail, and the gateway \
-             reconnects if it has no replacement",
+             reconnects unless the connection was already replaced",
             reconnector.index
         );
     }
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -24,7 +24,7 @@
     /// The id of the endpoint, which is the same at every gateway.
     #[serde(borrow)]
     pub id: Cow<'a, str>,
-    /// The host and port at which this machine reaches the endpoint.
+    /// The IP address and port at which this machine reaches the endpoint.
     #[serde(borrow, default)]
     pub host_port: Cow<'a, str>,
     /// The zone of the endpoint.
@@ -51,7 +51,7 @@
 impl<'a> EndpointList<'a> {
     /// Decodes the entries one by one. Returns an error for each entry that cannot be decoded.
     pub fn entries(&self) -> impl Iterator<Item = Result<EndpointEntry<'a>, serde_json::Error>> + '_ {
-        self.members.iter().map(|member| serde_json::from_str(member.get()))
+        self.members.iter().map(|entry| serde_json::from_str(entry.get()))
     }
 
     /// Returns the list marked as complete.
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -28,12 +28,12 @@
     body: Incoming,
     framer: JsonFramer,
     /// The time at which the incomplete object began.
-    object_started: Option<Instant>,
+    object_started_at: Option<Instant>,
     _connection: ConnectionTask,
 }
 
 impl ResponseStream {
-    /// Sends a request to the agent on a new connection. `timeout_each` limits the time to open the
+    /// Sends a request to the agent on a new connection. `step_timeout` limits the time to open the
     /// connection, and again the time to receive the response head. Objects in the response may hold up to
     /// `max_object_bytes`.
     ///
@@ -43,12 +43,12 @@
     pub async fn open<A: Connect>(
         agent: &A,
         path: &str,
-        timeout_each: Duration,
+        step_timeout: Duration,
         max_object_bytes: usize,
     ) -> Result<Self, DiscoveryError> {
         // If an await in this function is cancelled, the connection is closed. No other state has changed, so
         // the request can be sent again.
-        let stream = timeout(timeout_each, agent.connect())
+        let stream = timeout(step_timeout, agent.connect())
             .await
             .map_err(|_| DiscoveryError::ConnectTimeout)?
             .map_err(DiscoveryError::Connect)?;
@@ -58,14 +58,14 @@
             let _ = connection.await;
         }));
         let request = Request::get(path).header("host", agent.to_string()).body(Empty::<Bytes>::new())?;
-        let response = timeout(timeout_each, sender.send_request(request))
+        let response = timeout(step_timeout, sender.send_request(request))
             .await
             .map_err(|_| DiscoveryError::ResponseTimeout)??;
         match response.status() {
             StatusCode::OK => Ok(ResponseStream {
                 body: response.into_body(),
                 framer: JsonFramer::new(max_object_bytes),
-                object_started: None,
+                object_started_at: None,
                 _connection: connection,
             }),
             status => Err(DiscoveryError::UnexpectedStatus(status)),
@@ -79,27 +79,28 @@
     pub fn next_list(&mut self) -> Result<Option<EndpointList<'_>>, DiscoveryError> {
         let Some(object) = self.framer.next_object()? else { return Ok(None) };
         let list = serde_json::from_slice(object)?;
-        self.object_started = None;
+        self.object_started_at = None;
         Ok(Some(list))
     }
 
-    /// Waits for the next piece of the body. The time limit is `idle_timeout` between two objects. Within an
-    /// object it is [`STALL_TIMEOUT`], and [`OBJECT_TIMEOUT`] after the object began.
+    /// Waits for the next piece of the body. Between two objects, the time limit is `idle_timeout`. Within an
+    /// object, it is [`STALL_TIMEOUT`] for the piece and [`OBJECT_TIMEOUT`] for the whole object, whichever
+    /// ends first.
     ///
     /// # Errors
     /// Returns an error if no piece arrives in time, the body has ended or the connection fails.
     pub async fn read_piece(&mut self, idle_timeout: Duration) -> Result<(), DiscoveryError> {
         let now = Instant::now();
         if self.framer.in_object() {
-            self.object_started.get_or_insert(now);
+            self.object_started_at.get_or_insert(now);
         }
-        let deadline = match self.object_started {
+        let deadline = match self.object_started_at {
             Some(started) => (started + OBJECT_TIMEOUT).min(now + STALL_TIMEOUT),
             None => now + idle_timeout,
         };
         let frame = match timeout_at(deadline, self.body.frame()).await {
             Ok(frame) => frame.ok_or(DiscoveryError::ResponseEnded)??,
-            Err(_) if self.object_started.is_some() => return Err(DiscoveryError::ObjectTimeout),
+            Err(_) if self.object_started_at.is_some() => return Err(DiscoveryError::ObjectTimeout),
             Err(_) => return Err(DiscoveryError::IdleTimeout),
         };
         if let Ok(piece) = frame.into_data() {
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -1,7 +1,7 @@
 //! Timeouts and backoff of the watcher.
 //!
-//! A change counts as notified to the gateway 6 s after discovery has the change and can be reached. If the
-//! drain grace is 1 s or less, the idle timeout of a watch, one request, the longest backoff and the time
+//! The gateway is regarded as notified of a change 6 s after discovery has the change and can be reached. If
+//! the drain grace is 1 s or less, the idle timeout of a watch, one request, the longest backoff and the time
 //! limit of one object together are shorter than that. With a longer drain grace, a request may take up to
 //! [`STALL_TIMEOUT`] to connect and as long again to receive the response head.
 
@@ -14,8 +14,9 @@
 /// limit from the response head to the end of a complete list.
 pub(super) const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without a byte after which a watch is reopened. The agent sends an empty line every 2 s on an idle
-/// watch. If the line is missing, the connection may be dead while the agent is alive, and a change that the
-/// agent holds counts as notified. If discovery itself is down, reopening the watch costs nothing.
+/// watch. If the line is missing, the connection may be dead while the agent is alive, and the gateway is
+/// regarded as notified of a change that the agent holds. If discovery itself is down, reopening the watch
+/// costs nothing.
 pub(super) const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
 /// A complete list is requested when the agent has responded to watch requests for this long without sending
 /// a byte on any watch, not even an empty line: the agent may hold changes that its watches do not send.
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -23,7 +23,8 @@
 /// The limits that a watcher keeps to.
 #[derive(Clone, Copy, Debug)]
 pub struct WatcherLimits {
-    /// Time after the notification of a drain in which the endpoint may still receive new requests.
+    /// Time, after the gateway is notified that an endpoint is draining, in which the endpoint may still receive
+    /// new requests. The timeouts of requests to the agent are derived from it.
     pub drain_grace: Duration,
     /// Maximum size of one JSON object, bytes.
     pub max_object_bytes: usize,
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Makes the watcher read a complete list next, because the watch sent data that could not be decoded and
-    /// may hold a change. Returns the error unchanged.
+    /// Makes the watcher read a complete list next, because the watch sent data that is incomplete or cannot
+    /// be decoded. That data may contain a change. Returns the error unchanged.
     fn require_complete_list(&mut self, error: DiscoveryError) -> DiscoveryError {
         self.revision = None;
         error
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -61,7 +61,7 @@
     /// The entries that were decoded.
     pub endpoints: Vec<Endpoint>,
     /// Whether all entries were decoded. If one was ignored, the registry may lack a change.
-    pub complete: bool,
+    pub all_decoded: bool,
 }
 
 struct RegisteredEndpoint {
@@ -100,13 +100,13 @@
 
     /// Applies a list from discovery. Entries that cannot be decoded are logged and ignored.
     pub fn apply(&mut self, list: &EndpointList<'_>, update: EndpointUpdate) -> DecodedList {
-        let mut decoded = DecodedList { endpoints: Vec::new(), complete: true };
-        for member in list.entries() {
-            match member.map_err(EndpointError::from).and_then(|member| self.register(&member)) {
+        let mut decoded = DecodedList { endpoints: Vec::new(), all_decoded: true };
+        for entry in list.entries() {
+            match entry.map_err(EndpointError::from).and_then(|entry| self.register(&entry)) {
                 Ok(endpoint) => decoded.endpoints.push(endpoint),
                 Err(error) => {
                     log::log!(error.log_level(), "discovery: ignored one entry of the server list: {error}");
-                    decoded.complete = false;
+                    decoded.all_decoded = false;
                 }
             }
         }
@@ -117,27 +117,27 @@
         decoded
     }
 
-    fn register(&mut self, member: &EndpointEntry<'_>) -> Result<Endpoint, EndpointError> {
-        let server = server_id(&member.id);
-        let state = decode_state(member)?;
-        if let Some(other) = self.endpoints.get(&server).filter(|other| other.id != member.id) {
-            let (id, other) = (member.id.to_string(), other.id.clone());
+    fn register(&mut self, entry: &EndpointEntry<'_>) -> Result<Endpoint, EndpointError> {
+        let server = server_id(&entry.id);
+        let state = decode_state(entry)?;
+        if let Some(other) = self.endpoints.get(&server).filter(|other| other.id != entry.id) {
+            let (id, other) = (entry.id.to_string(), other.id.clone());
             return Err(EndpointError::ServerIdCollision { id, server, other });
         }
         if state == EndpointState::Removed {
             self.endpoints.remove(&server);
         } else {
             let ready = state == EndpointState::Ready;
-            let address = self.decode_address(member, server, ready)?;
-            let id = member.id.to_string();
+            let address = self.decode_address(entry, server, ready)?;
+            let id = entry.id.to_string();
             self.endpoints.insert(server, RegisteredEndpoint { id, address, ready });
         }
         Ok(Endpoint {
             server,
-            weight: member.size,
-            zone: self.zone_number(&member.locality),
-            cell: member.cell,
-            started: member.up_since_ms,
+            weight: entry.size,
+            zone: self.zone_number(&entry.locality),
+            cell: entry.cell,
+            started: entry.up_since_ms,
             state,
         })
     }
@@ -146,13 +146,13 @@
     /// registered keeps its address, so that the drain still takes effect.
     fn decode_address(
         &self,
-        member: &EndpointEntry<'_>,
+        entry: &EndpointEntry<'_>,
         server: ServerId,
         ready: bool,
     ) -> Result<SocketAddr, EndpointError> {
         let known = if ready { None } else { self.address(server) };
-        member.host_port.parse().or_else(|source| {
-            known.ok_or_else(|| EndpointError::InvalidAddress { id: member.id.to_string(), source })
+        entry.host_port.parse().or_else(|source| {
+            known.ok_or_else(|| EndpointError::InvalidAddress { id: entry.id.to_string(), source })
         })
     }
 
@@ -162,12 +162,12 @@
     }
 }
 
-fn decode_state(member: &EndpointEntry<'_>) -> Result<EndpointState, EndpointError> {
-    match member.phase.as_ref() {
+fn decode_state(entry: &EndpointEntry<'_>) -> Result<EndpointState, EndpointError> {
+    match entry.phase.as_ref() {
         "Ready" => Ok(EndpointState::Ready),
         "Terminating" => Ok(EndpointState::Draining),
         "Gone" => Ok(EndpointState::Removed),
-        phase => Err(EndpointError::UnknownPhase { id: member.id.to_string(), phase: phase.to_owned() }),
+        phase => Err(EndpointError::UnknownPhase { id: entry.id.to_string(), phase: phase.to_owned() }),
     }
 }
 
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -47,7 +47,7 @@
     /// The request as the policy sees it; the event loop assigns its id.
     pub request: Request,
     /// The request that is sent to a server.
-    pub forward: ForwardedRequest,
+    pub forwarded_request: ForwardedRequest,
     /// The client's connection, which closes when the task that serves it drops its reference.
     pub client: Weak<TcpStream>,
 }
@@ -121,8 +121,8 @@
             }),
             counter: Rc::new(CounterClient::new(config.counter, counter_call_timeout)),
         });
-        if let Some(known) = config.cached_endpoints() {
-            event_loop.update_endpoints(&known, EndpointUpdate::Cached);
+        if let Some(cached) = config.cached_endpoints() {
+            event_loop.update_endpoints(&cached, EndpointUpdate::Cached);
         }
         event_loop.timers.arm(event_loop.now() + CONNECTION_CHECK_INTERVAL, TimerKind::ConnectionCheck);
         event_loop
@@ -155,7 +155,8 @@
         &self.settings
     }
 
-    /// How long new requests may still be sent to a server after discovery reports that it is draining.
+    /// Time after discovery reports that a server is draining within which the gateway has to stop sending
+    /// new requests to it.
     pub fn drain_grace(&self) -> Duration {
         self.drain_grace
     }
@@ -207,7 +208,7 @@
                 Some(Event::Request(request)) => Some(request.id),
                 _ => None,
             };
-            if catch_unwind(AssertUnwindSafe(|| self.step(event))).is_err() {
+            if catch_unwind(AssertUnwindSafe(|| self.process_event(event))).is_err() {
                 log::error!("event loop: handling an event panicked; continuing with the next event");
                 if let Some(id) = new_request {
                     self.answer(id, Answer::Failed);
@@ -218,7 +219,7 @@
     }
 
     /// Passes an event to the policy, if there is one, and executes all pending actions.
-    fn step(self: &Rc<Self>, event: Option<Event>) {
+    fn process_event(self: &Rc<Self>, event: Option<Event>) {
         if let Some(event) = event {
             self.policy.borrow_mut().handle(self.now(), event);
         }
@@ -259,9 +260,9 @@
     /// Registers a request and passes it to the policy. Exactly one answer is sent on the returned channel,
     /// unless the client disconnects first.
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> (RequestId, oneshot::Receiver<Answer>) {
-        let IncomingRequest { mut request, forward, client } = incoming;
+        let IncomingRequest { mut request, forwarded_request, client } = incoming;
         let deadline = self.now() + request.time_left;
-        let (pending, answer) = PendingRequest::new(forward, client, deadline);
+        let (pending, answer) = PendingRequest::new(forwarded_request, client, deadline);
         let id = self.requests.borrow_mut().insert(pending);
         self.timers.arm(deadline - DEADLINE_MARGIN, TimerKind::Deadline(id));
         request.id = id;
@@ -285,7 +286,8 @@
         }
     }
 
-    /// Reports a request to the policy as disconnected, so that the policy does no further work for it.
+    /// Reports to the policy that the client of a request has disconnected, so that the policy does no
+    /// further work for the request.
     fn cancel_request(self: &Rc<Self>, id: RequestId) {
         self.dispatch(Event::ClientDisconnected(id));
         self.requests.borrow_mut().remove_if_finished(id);
@@ -315,9 +317,9 @@
     /// that it describes is then unknown.
     pub fn endpoints_changed(self: &Rc<Self>, list: &EndpointList<'_>) -> bool {
         let update = if list.complete { EndpointUpdate::Complete } else { EndpointUpdate::Incremental };
-        let complete = self.update_endpoints(list, update);
+        let all_decoded = self.update_endpoints(list, update);
         self.set_ready();
-        complete
+        all_decoded
     }
 
     /// Whether new requests may be sent to a server.
@@ -329,7 +331,7 @@
         let decoded = self.endpoints.borrow_mut().apply(list, update);
         self.pool.retain_servers(|server| self.accepts_requests(server));
         self.dispatch(Event::EndpointsChanged { update, entries: decoded.endpoints });
-        decoded.complete
+        decoded.all_decoded
     }
 
     // ---- Timers -------------------------------------------------------------------------------
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -34,7 +34,7 @@
         match self.prepare_attempt(request, attempt, server, timeout, now) {
             Ok(spec) => {
                 let timeout_at = spec.timeout_at;
-                let task = tokio::task::spawn_local(upstream::attempt(self.clone(), spec));
+                let task = tokio::task::spawn_local(upstream::run_attempt(self.clone(), spec));
                 request.set_task(number, task.abort_handle());
                 self.timers.arm(timeout_at, TimerKind::Attempt(attempt));
             }
@@ -70,7 +70,7 @@
             number: attempt.number,
             server,
             address,
-            forward: request.forward.clone(),
+            forwarded_request: request.forwarded_request.clone(),
             timeout_at: now + timeout,
         })
     }
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -26,7 +26,7 @@
     TimedOut,
 }
 
-/// One attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
@@ -41,7 +41,7 @@
     /// The channel for the final answer; `None` once the request is complete.
     responder: Option<oneshot::Sender<Answer>>,
     /// The request that is sent to a server.
-    pub forward: Rc<ForwardedRequest>,
+    pub forwarded_request: Rc<ForwardedRequest>,
     /// The client's connection.
     pub client: Weak<TcpStream>,
     /// The time at which the client stops waiting; Unix time, ms.
@@ -53,21 +53,21 @@
     server: ServerId,
     started: Millis,
     in_flight: bool,
-    /// The task that makes the attempt, as long as the end of the attempt has to abort it.
+    /// The task that makes the attempt; `None` if the end of the attempt must not abort it.
     task: Option<AbortHandle>,
 }
 
 impl PendingRequest {
     /// Creates a request without attempts, and returns the channel on which its final answer arrives.
     pub fn new(
-        forward: ForwardedRequest,
+        forwarded_request: ForwardedRequest,
         client: Weak<TcpStream>,
         deadline: Millis,
     ) -> (Self, oneshot::Receiver<Answer>) {
         let (responder, answer) = oneshot::channel();
         let request = PendingRequest {
             responder: Some(responder),
-            forward: Rc::new(forward),
+            forwarded_request: Rc::new(forwarded_request),
             client,
             deadline,
             attempts: Vec::new(),
@@ -80,8 +80,8 @@
         self.responder.is_none()
     }
 
-    /// Records an attempt that starts at `now`, and returns its number, or `None` if the request already has
-    /// 256 attempts, the most that can be numbered.
+    /// Records an attempt that starts at `now`, and returns its number. If the request already has 256
+    /// attempts, the most that can be numbered, the attempt is recorded as well, but `None` is returned.
     pub fn start_attempt(&mut self, server: ServerId, now: Millis) -> Option<u8> {
         let number = u8::try_from(self.attempts.len()).ok();
         self.attempts.push(Attempt { server, started: now, in_flight: true, task: None });
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time from the start of a shutdown during which no connection is closed without an answer: new connections
+/// Time from the start of a shutdown before it closes connections that wait for a request: new connections
 /// may arrive for up to 0.4 s after the signal. Afterwards a new connection still gets the
 /// `NEW_CONNECTION_GRACE` of the client connections to send its first request.
-const MIN_ACCEPT_PERIOD: Duration = Duration::from_millis(450);
+const CLOSE_IDLE_DELAY: Duration = Duration::from_millis(450);
 /// Longest request deadline, ms, that a shutdown waits for.
 const MAX_REQUEST_WAIT: Millis = 3000.0;
 /// Time that is added to that deadline before unanswered requests are answered as timed out.
@@ -25,7 +25,7 @@
 
 /// The times at which the phases of a shutdown end.
 pub struct ShutdownSchedule {
-    /// No idle connection is closed before this time.
+    /// The shutdown closes no idle connection before this time.
     close_idle_at: Instant,
     /// Requests that have no answer at this time are answered as timed out.
     time_out_requests_at: Instant,
@@ -37,7 +37,7 @@
     pub fn new(start: Instant, max_deadline: Millis) -> Self {
         let request_wait = Duration::from_secs_f64(max_deadline.min(MAX_REQUEST_WAIT) / 1000.0);
         ShutdownSchedule {
-            close_idle_at: start + MIN_ACCEPT_PERIOD,
+            close_idle_at: start + CLOSE_IDLE_DELAY,
             time_out_requests_at: start + request_wait + REQUEST_WAIT_MARGIN,
         }
     }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -42,7 +42,7 @@
     /// The server's address.
     pub address: SocketAddr,
     /// The request to send.
-    pub forward: Rc<ForwardedRequest>,
+    pub forwarded_request: Rc<ForwardedRequest>,
     /// Unix time at which the attempt times out, ms.
     pub timeout_at: Millis,
 }
@@ -60,7 +60,7 @@
 }
 
 /// Makes one attempt and reports its result. If the task is cancelled, the connection is closed.
-pub async fn attempt<O: AttemptOwner + Clone + 'static>(owner: O, spec: AttemptSpec) {
+pub async fn run_attempt<O: AttemptOwner + Clone + 'static>(owner: O, spec: AttemptSpec) {
     let guard = CompletionGuard { owner: owner.clone(), id: spec.id, number: spec.number, reported: false };
     let result = run(&owner, &spec).await;
     guard.complete(result);
@@ -159,7 +159,7 @@
     connection.exchange.begin(Box::new(move || check_owner.check_may_begin(id, server).is_ok()));
     // Computed after the connection is open, because opening it may have taken much of the time.
     let time_left = spec.timeout_at - owner.now();
-    let request = spec.forward.to_upstream(spec.address, time_left);
+    let request = spec.forwarded_request.to_upstream(spec.address, time_left);
     let sent = connection.sender.try_send_request(request).await;
     connection.exchange.end();
     sent.map_err(|error| match connection.exchange.has_written() {
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -4,7 +4,7 @@
 //! requests on its own and does not report whether any part of a request was written. The gateway needs to
 //! know that to decide whether it may retry the request.
 //!
-//! An [`attempt`](attempt()) takes a connection from the [`ConnectionPool`] or opens one and sends the
+//! An attempt ([`run_attempt`]) takes a connection from the [`ConnectionPool`] or opens one and sends the
 //! request on it. The connection's stream checks whether the attempt may still begin before it writes the
 //! first byte. The attempt then reads the complete response and reports exactly one result to its
 //! [`AttemptOwner`].
@@ -18,6 +18,6 @@
 mod request;
 mod response;
 
-pub use attempt::{attempt, AttemptOwner, AttemptSpec};
+pub use attempt::{run_attempt, AttemptOwner, AttemptSpec};
 pub use pool::{ConnectionPool, PoolSettings};
 pub use request::ForwardedRequest;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -44,7 +44,7 @@
                 return Admission::Queue;
             }
             if !check.admitted {
-                check.admitted = usage.admits(now, check, roll);
+                check.admitted = usage.decide_admission(now, check, roll);
             }
             match check.admitted {
                 true if ceiling_is_short => Admission::Queue,
--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -18,8 +18,8 @@
 const BUCKET_WIDTH: Millis = 250.0;
 /// Shortest time between two counter calls for a tenant, ms; equals the width of one bucket.
 pub(super) const SYNC_INTERVAL: Millis = 250.0;
-/// Time after [`SYNC_INTERVAL`] at which unsent units are sent to the counter even if they are fewer than a
-/// batch, ms. Both times grow with the backoff factor.
+/// Time, ms, that is added to [`SYNC_INTERVAL`] to get the time since the last sync after which unsent units
+/// are sent to the counter even if they are fewer than a batch. The sum is multiplied by the backoff factor.
 const FLUSH_INTERVAL: Millis = 1000.0;
 /// Size of a batch that is worth a counter call, as a share of the burst. This size keeps calls rare and
 /// still keeps the shared window recent enough to be useful.
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -12,7 +12,7 @@
 const MIN_LIMIT: f64 = 2.0;
 /// Mean response time, as a share of the latency objective, above which the limit decreases.
 const DECREASE_LATENCY_RATIO: f64 = 0.27;
-/// Upper bound of one sample of the response time, in latency objectives.
+/// Upper bound of one sample of the response time, as a multiple of the latency objective.
 const MAX_LATENCY_RATIO: f64 = 2.0;
 /// Share of the limit that must be in use before the limit increases.
 const INCREASE_UTILIZATION: f64 = 0.6;
--- a/src/policy/counter_sync.rs
+++ b/src/policy/counter_sync.rs
@@ -4,8 +4,8 @@
 use super::counter_key::COUNTER_KEY_PERIOD;
 use crate::ids::{CounterKey, Millis};
 
-/// Totals that differ by less than this many units count as equal, because the wire protocol carries them in
-/// single precision.
+/// Totals that differ by less than this many units count as equal, because the simulator's protocol
+/// carries them in single precision.
 const TOTAL_TOLERANCE: f64 = 0.01;
 
 /// The final read, in flight, of a counter key whose period is over.
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -10,9 +10,10 @@
 //! call, and each call reserves units for the other requests too. A request for which there is neither a call
 //! nor a recent read is rejected with a probability equal to the tenant's recent rejection ratio.
 //!
-//! This prevents gateways that each estimate a rate from all admitting the same excess units, or all
-//! rejecting requests for the same unused units. It also works with skewed traffic, spikes, and restarts that
-//! lose all state. The cost is a counter call for each request for which no recent read is cached.
+//! If each gateway estimated the tenant's rate on its own, all gateways could admit requests for the same
+//! last units of the quota, or could all reject requests although units are unused. The shared total on the
+//! counter prevents both. It also works with skewed traffic, spikes, and restarts that lose all state. The
+//! cost is one counter call per request, unless a recent read is cached.
 
 use super::batched_usage::SYNC_INTERVAL;
 use super::counter_key::{counter_key, period_at, COUNTER_KEY_PERIOD};
@@ -206,9 +207,10 @@
 
     // ---- Admission ----------------------------------------------------------------------------
 
-    /// Whether the quota admits a request. The observed usage decides if there is one, otherwise the recent
-    /// rejection ratio. `roll` is a uniform draw from 0 to 1.
-    pub(super) fn admits(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> bool {
+    /// Decides whether the quota admits a request. The observed usage decides if there is one, otherwise the
+    /// recent rejection ratio. A decision by the observed usage changes that ratio. `roll` is a uniform draw
+    /// from 0 to 1.
+    pub(super) fn decide_admission(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> bool {
         let burst = self.quota.burst;
         let admitted = match check.observed_usage {
             // In a window of burst / rate, used / burst equals perceived rate / rate.
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -22,7 +22,7 @@
 
     /// Number of servers divided by the number of gateways in the fleet.
     fn servers_per_gateway(&self) -> f64 {
-        self.selector.len() as f64 / self.settings.gateway_count.max(1.0)
+        self.selector.len() as f64 / self.settings.fleet_gateway_count.max(1.0)
     }
 
     /// Sets the initial concurrency limit once the first servers are known.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of gateways in the fleet.
-    pub gateway_count: f64,
+    pub fleet_gateway_count: f64,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The plans of tenants.
--- a/src/simulator/frame.rs
+++ b/src/simulator/frame.rs
@@ -1,10 +1,10 @@
-//! Reads little-endian fields of a frame with bounds checks, and writes them into zero-filled records.
+//! Reads little-endian fields of a frame with bounds checks, and builds action records from such fields.
 
 use super::error::FrameError;
 use super::layout::{record, ACTION_BYTES};
 
 /// Reads the fields of one section of a frame: the header, an event record, the tail or an endpoint in it.
-/// Errors name the section by `section`.
+/// `section` is the name of the section in errors.
 #[derive(Clone, Copy)]
 pub(super) struct FieldReader<'a> {
     pub bytes: &'a [u8],
--- a/tests/load_balancing/deployment.rs
+++ b/tests/load_balancing/deployment.rs
@@ -38,7 +38,7 @@
         ..Class::default()
     };
     Settings {
-        gateway_count: 3.0,
+        fleet_gateway_count: 3.0,
         classes: idempotencies.into_iter().map(class).collect(),
         plans: vec![Plan { priority_multiplier: 1.0, ..Plan::default() }],
         max_units: 1.0,
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -218,7 +218,7 @@
 /// Simulates a fleet with one tenant that sends requests at a constant rate for a minute, each request to a
 /// different gateway than the one before.
 fn send_for_a_minute(gateways: usize, plan: &Plan, requests_per_second: f64) -> MinuteOfRequests {
-    let settings = Settings { gateway_count: gateways as f64, plans: vec![plan.clone()], ..settings() };
+    let settings = Settings { fleet_gateway_count: gateways as f64, plans: vec![plan.clone()], ..settings() };
     let mut counter = CounterStub::unlimited();
     let mut fleet: Vec<Gateway> =
         (0..gateways).map(|index| Gateway::new(settings.clone(), index as u64)).collect();
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -52,7 +52,7 @@
 /// and its concurrency limit fell until it sent almost nothing.
 #[test]
 fn a_gateway_with_slow_servers_keeps_two_attempts_in_flight_per_server() {
-    let mut rig = Rig::new(Settings { gateway_count: 1.0, ..settings() }, 6);
+    let mut rig = Rig::new(Settings { fleet_gateway_count: 1.0, ..settings() }, 6);
     let request_of = |tenant| Request { tenant: TenantId(tenant), gateway_count: 2.0, ..Request::default() };
     for step in 0..400 {
         let now = 1000.0 + step as f64 * 10.0;
--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -143,7 +143,7 @@
         ..Plan::default()
     };
     Settings {
-        gateway_count: gateways,
+        fleet_gateway_count: gateways,
         plans: vec![plan],
         counter_enabled: false,
         max_retry_after: 60_000.0,
--- a/tests/policy/rig.rs
+++ b/tests/policy/rig.rs
@@ -17,7 +17,7 @@
 /// Settings of a fleet of three gateways with one plan of 5 requests per second and a burst of 10.
 pub fn settings() -> Settings {
     Settings {
-        gateway_count: 3.0,
+        fleet_gateway_count: 3.0,
         classes: vec![Class {
             latency_objective: 500.0,
             deadline: TIME_LEFT,
@@ -40,7 +40,7 @@
 /// Settings of a fleet of 500 gateways with one plan, in which each gateway gets few requests of a tenant.
 pub fn large_fleet_settings(rate: f64, burst: f64) -> Settings {
     let plan = Plan { rate, burst, priority_multiplier: 1.0, ..Plan::default() };
-    Settings { gateway_count: 500.0, plans: vec![plan], ..settings() }
+    Settings { fleet_gateway_count: 500.0, plans: vec![plan], ..settings() }
 }
 
 /// A call of the gateway to the counter service.
--- a/tests/quota_accuracy/scenario.rs
+++ b/tests/quota_accuracy/scenario.rs
@@ -80,7 +80,7 @@
         let class =
             Class { latency_objective: 600.0, deadline: 2000.0, priority_weight: 1.0, ..Class::default() };
         Settings {
-            gateway_count: self.gateways as f64,
+            fleet_gateway_count: self.gateways as f64,
             classes: vec![class],
             plans: self.plans.iter().map(|priced| priced.plan.clone()).collect(),
             max_units: 1.0,
--- a/tests/settings_values.rs
+++ b/tests/settings_values.rs
@@ -262,7 +262,7 @@
 fn settings_lines(settings: &Settings) -> Vec<String> {
     let mut lines = vec![
         format!("{} classes, {} plans", settings.classes.len(), settings.plans.len()),
-        format!("gateways {:?}", settings.gateway_count),
+        format!("gateways {:?}", settings.fleet_gateway_count),
         format!("max units {:?}", settings.max_units),
         format!("max attempts {:?}", settings.max_attempts),
         format!("hedging {:?}", settings.hedging_allowed),
--- a/tests/slow_start/world.rs
+++ b/tests/slow_start/world.rs
@@ -107,7 +107,7 @@
         };
         let zone_key = Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: 1500.0 };
         Settings {
-            gateway_count: self.gateways as f64,
+            fleet_gateway_count: self.gateways as f64,
             classes: vec![
                 class(800.0, Idempotency::Idempotent),
                 class(1000.0, zone_key),
--- a/tests/unit/client_request_parser.rs
+++ b/tests/unit/client_request_parser.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn only_valid_quota_headers_are_accepted() {
-    let limits = QuotaLimits { max_units: 4.0, gateway_count: 5.0 };
+    let limits = QuotaLimits { max_units: 4.0, fleet_gateway_count: 5.0 };
     let parse = |text| parse_quota(text, limits);
     assert_eq!(parse("units=2,spread=3,first=1"), Some(Quota { units: 2.0, gateway_count: 3.0 }));
     assert_eq!(parse("units=1.5, spread=5, first=4"), Some(Quota { units: 1.5, gateway_count: 5.0 }));
--- a/tests/unit/endpoint_registry.rs
+++ b/tests/unit/endpoint_registry.rs
@@ -26,10 +26,10 @@
 fn a_draining_entry_without_an_address_keeps_the_registered_address() {
     let mut registry = registry();
     let decoded = apply(&mut registry, READY, EndpointUpdate::Complete);
-    assert!(decoded.complete && registry.is_ready(ServerId(10)));
+    assert!(decoded.all_decoded && registry.is_ready(ServerId(10)));
     assert_eq!((decoded.endpoints[0].zone, decoded.endpoints[0].state), (1, EndpointState::Ready));
     let decoded = apply(&mut registry, DRAINING, EndpointUpdate::Incremental);
-    assert!(decoded.complete && !registry.is_ready(ServerId(10)));
+    assert!(decoded.all_decoded && !registry.is_ready(ServerId(10)));
     assert_eq!(decoded.endpoints[0].zone, UNKNOWN_ZONE);
     assert_eq!(registry.address(ServerId(10)), "127.0.0.1:9".parse().ok());
 }
@@ -45,7 +45,7 @@
         let mut registry = registry();
         let decoded = apply(&mut registry, entry, EndpointUpdate::Incremental);
         assert!(
-            !decoded.complete && decoded.endpoints.is_empty() && registry.is_empty(),
+            !decoded.all_decoded && decoded.endpoints.is_empty() && registry.is_empty(),
             "an invalid entry was applied: {entry}"
         );
     }
@@ -56,7 +56,7 @@
     let mut registry = registry();
     let other = READY.replace("s-0000000a", "t-0000000a").replace("127.0.0.1:9", "127.0.0.1:8");
     let decoded = apply(&mut registry, &format!("{READY},{other}"), EndpointUpdate::Complete);
-    assert!(!decoded.complete && decoded.endpoints.len() == 1);
+    assert!(!decoded.all_decoded && decoded.endpoints.len() == 1);
     assert_eq!(registry.address(ServerId(10)), "127.0.0.1:9".parse().ok());
 }
 
