--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -28,7 +28,7 @@
     body: Incoming,
     framer: JsonFramer,
     /// The time at which the incomplete object began.
-    object_started: Option<Instant>,
+    object_started_at: Option<Instant>,
     _connection: ConnectionTask,
 }
 
@@ -65,7 +65,7 @@
             StatusCode::OK => Ok(ResponseStream {
                 body: response.into_body(),
                 framer: JsonFramer::new(max_object_bytes),
-                object_started: None,
+                object_started_at: None,
                 _connection: connection,
             }),
             status => Err(DiscoveryError::UnexpectedStatus(status)),
@@ -79,7 +79,7 @@
     pub fn next_list(&mut self) -> Result<Option<EndpointList<'_>>, DiscoveryError> {
         let Some(object) = self.framer.next_object()? else { return Ok(None) };
         let list = serde_json::from_slice(object)?;
-        self.object_started = None;
+        self.object_started_at = None;
         Ok(Some(list))
     }
 
@@ -92,15 +92,15 @@
     pub async fn read_piece(&mut self, idle_timeout: Duration) -> Result<(), DiscoveryError> {
         let now = Instant::now();
         if self.framer.in_object() {
-            self.object_started.get_or_insert(now);
+            self.object_started_at.get_or_insert(now);
         }
-        let deadline = match self.object_started {
+        let deadline = match self.object_started_at {
             Some(started) => (started + OBJECT_TIMEOUT).min(now + STALL_TIMEOUT),
             None => now + idle_timeout,
         };
         let frame = match timeout_at(deadline, self.body.frame()).await {
             Ok(frame) => frame.ok_or(DiscoveryError::ResponseEnded)??,
-            Err(_) if self.object_started.is_some() => return Err(DiscoveryError::ObjectTimeout),
+            Err(_) if self.object_started_at.is_some() => return Err(DiscoveryError::ObjectTimeout),
             Err(_) => return Err(DiscoveryError::IdleTimeout),
         };
         if let Ok(piece) = frame.into_data() {
