--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -3,7 +3,7 @@
 //! This keeps the gateways from exceeding the ceiling together when they cannot communicate, have just
 //! restarted or cannot reach the counter. The ceiling holds independently of the counter, because the parts
 //! add up to the whole ceiling and each part is empty when its gateway starts. The cost is that traffic
-//! concentrated on one gateway has to wait for that gateway's part to refill.
+//! concentrated on one gateway has to wait until the part of that gateway has refilled.
 
 use crate::ids::Millis;
 use crate::settings::Plan;
@@ -16,8 +16,8 @@
     burst: f64,
     /// Number of gateways that share the ceiling.
     gateway_count: f64,
-    /// Units that may be forwarded now. Falls below 0 for a tenant without a ceiling, which is never
-    /// refilled.
+    /// Units that may be forwarded now. If the plan has no ceiling, the bucket is never refilled, and this
+    /// number falls below 0 and is ignored.
     tokens: f64,
 }
 
@@ -34,7 +34,8 @@
         self.tokens = refilled.min(self.burst / self.gateway_count);
     }
 
-    /// Removes the units of a request's first attempt; retries and hedged requests cost nothing.
+    /// Removes the units of a request from the bucket. This is done for the first attempt only: retries and
+    /// hedged requests cost nothing.
     pub(super) fn spend(&mut self, units: f64) {
         self.tokens -= units;
     }
@@ -52,7 +53,7 @@
         1000.0 * missing * self.gateway_count / rate
     }
 
-    /// Time in which an empty bucket refills completely, ms.
+    /// Time in which an empty bucket refills completely, ms; 0 if the plan has no ceiling.
     pub(super) fn refill_time(&self) -> Millis {
         self.rate.map_or(0.0, |rate| 1000.0 * self.burst / rate)
     }
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -50,7 +50,8 @@
 
     // ---- Outgoing calls -----------------------------------------------------------------------
 
-    /// Synchronizes a tenant's units with the counter, if a call is due.
+    /// Sends a tenant's unsent units to the counter, if calls to the counter are allowed and due. Removes the
+    /// tenant from `unsynced` if no units have to be sent later.
     pub(super) fn sync_counter(&mut self, now: Millis, tenant_id: TenantId) {
         if !self.may_call_counter(now) {
             return;
@@ -81,9 +82,9 @@
         }
     }
 
-    /// Reserves units on the counter for a request of a low-traffic tenant. While the counter is congested,
-    /// only some requests, chosen at random, make a reservation. A request needs no call while a fresh read
-    /// is cached.
+    /// Reserves units on the counter for a request of a low-traffic tenant. At a backoff factor above 1, only
+    /// some requests, chosen at random, make a reservation. No reservation is made while a fresh read is
+    /// cached; the cached usage is then used for the request.
     pub(super) fn reserve_on_counter(&mut self, now: Millis, tracked: &mut TrackedRequest) {
         let roll = uniform(&mut self.rng);
         if !self.may_call_counter(now) {
@@ -106,9 +107,10 @@
         }
     }
 
-    /// Releases the reservation of a request of `units` that is not forwarded. While the counter is
-    /// congested, only some releases, chosen at random, make a call, and each of these calls releases
-    /// proportionally more units. The calls saved are more useful as reads.
+    /// Releases the reservation of a request of `units` that is not forwarded. At a backoff factor above 1,
+    /// only some releases, chosen at random, make a call, and each of these calls releases proportionally
+    /// more units. The capacity of the counter that this saves is better used for calls that read the usage.
+    /// Nothing is released while calls to the counter are paused.
     pub(super) fn release_reservation(
         &mut self,
         now: Millis,
@@ -161,12 +163,13 @@
             self.counter_calls.insert(key, owner);
         }
         if let Some(id) = reserved_for {
-            self.reservation_replied(now, id, total);
+            self.reservation_call_ended(now, id, total);
         }
     }
 
-    /// Handles the end of the counter call that made a request's reservation; `total` is `None` if it failed.
-    fn reservation_replied(&mut self, now: Millis, id: RequestId, total: Option<f64>) {
+    /// Handles the end of the counter call that made the reservation of the request `id`. `total` is `None`
+    /// if the call failed.
+    fn reservation_call_ended(&mut self, now: Millis, id: RequestId, total: Option<f64>) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         let check = &mut tracked.quota_check;
         check.awaiting_counter = false;
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -13,8 +13,8 @@
 const CALL_TIMEOUT_SHARE: f64 = 0.25;
 /// Upper bound of the timeout of a counter call, ms, unless [`Settings::counter_timeout`] is longer.
 const MAX_CALL_TIMEOUT: Millis = 800.0;
-/// Longest pause between calls to an unresponsive counter, ms. The gateway notices within this time that the
-/// counter has recovered.
+/// Longest pause between calls to an unresponsive counter, ms. Once the counter has recovered, calls are
+/// allowed again within this time.
 const MAX_RETRY_PAUSE: Millis = 800.0;
 /// The counter is considered unresponsive when a call fails and no call has succeeded for this long, ms, or
 /// no call has succeeded yet. A rejection is not a success.
@@ -28,7 +28,8 @@
 const TARGET_QUEUEING_DELAY_SHARE: f64 = 0.5;
 /// Lower bound of the target queueing delay, ms.
 const MIN_TARGET_QUEUEING_DELAY: Millis = 1.0;
-/// Gain per reply with which the baseline latency rises when the counter has become slower.
+/// Share of the difference by which a reply slower than the baseline latency raises the baseline. A faster
+/// reply lowers the baseline to the latency of the reply at once.
 const BASELINE_GAIN: f64 = 0.01;
 /// Step of the backoff factor's logarithm for one reply: minus this value for a reply without queueing delay,
 /// plus this value for a reply with twice the target delay. Larger steps would make the size of the
@@ -36,21 +37,22 @@
 const BACKOFF_GAIN: f64 = 0.02;
 /// Upper bound on the excess of one reply's queueing delay over the target, in multiples of the target.
 const MAX_EXCESS_DELAY: f64 = 2.0;
-/// A reply counts as fast if its queueing delay is below this share of the target.
+/// A reply is fast if its queueing delay is below this share of the target.
 const FAST_REPLY_SHARE: f64 = 0.5;
-/// Number of consecutive fast replies that shows that the counter has spare capacity.
+/// Number of consecutive fast replies from which the counter is assumed to have spare capacity.
 const MIN_CONSECUTIVE_FAST_REPLIES: u32 = 4;
 /// While the counter has spare capacity, each fast reply lowers the backoff factor's logarithm by this value.
 /// The step is large because after a surge the gateway makes few calls from which it could learn of the spare
 /// capacity.
 const FAST_REPLY_STEP: f64 = 0.1;
-/// A rejected call multiplies the backoff factor by this value to the power of the number of consecutive
-/// rejections, another failed call by this value itself. One rejection may be chance; several show that the
-/// gateways make far too many calls.
+/// Factor by which a failed call that may be a sign of congestion raises the backoff factor. For a rejected
+/// call, this value is raised to the power of the number of consecutive rejections: a single rejection may be
+/// chance, but several show that the gateways make far too many calls.
 const BACKOFF_RAISE_FACTOR: f64 = 1.4;
 /// Upper bound on the exponent of [`BACKOFF_RAISE_FACTOR`].
 const MAX_CONSECUTIVE_REJECTIONS: u32 = 4;
-/// Upper bound of the backoff factor, for a counter that can serve only one request in several hundred.
+/// Upper bound of the backoff factor. It is high enough for a counter that can serve only one in several
+/// hundred calls.
 const MAX_BACKOFF_FACTOR: f64 = 400.0;
 /// Failed calls raise the backoff factor at most once in this time, ms, because calls tend to fail together.
 const BACKOFF_RAISE_INTERVAL: Millis = 200.0;
@@ -65,23 +67,26 @@
 
 /// Load and availability of the counter service, estimated from the calls that this gateway makes.
 pub(super) struct CounterHealth {
-    /// [`Settings::counter_timeout`], ms. The target queueing delay is a share of it.
+    /// [`Settings::counter_timeout`], ms. The target queueing delay is a share of this timeout.
     timeout: Millis,
+    /// Time of the last successful call; `None` before the first.
     last_reply_at: Option<Millis>,
     /// A call has failed, and no call had succeeded in the [`UNRESPONSIVE_AFTER`] ms before. Reset by the
     /// next call that succeeds.
     unresponsive: bool,
     /// Pause between calls to an unresponsive counter, ms.
     retry_pause: Millis,
-    /// End of the current pause.
+    /// End of the last pause, which may have passed. `None` if there has been no pause since the last
+    /// successful call.
     paused_until: Option<Millis>,
     backoff_factor: f64,
     backoff_raised_at: Option<Millis>,
     /// Estimated latency of a call while the counter has no queue, ms.
     baseline_latency: Option<Millis>,
     consecutive_fast_replies: u32,
-    /// Consecutive rejections that have raised the backoff factor. A reply resets this to 0, and another
-    /// failed call that raises the factor sets it to 1.
+    /// Number of consecutive rejections that have raised the backoff factor, at most
+    /// [`MAX_CONSECUTIVE_REJECTIONS`]. A successful call resets the number to 0. A call that fails otherwise
+    /// and raises the factor sets the number to 1.
     consecutive_rejections: u32,
 }
 
@@ -112,8 +117,8 @@
         self.backoff_factor
     }
 
-    /// Age from which a tenant's usage, as last read, is too old to reflect the other gateways' requests.
-    /// `None` means that the usage is never too old.
+    /// Age, ms, from which a tenant's usage, as last read, is too old to reflect the other gateways'
+    /// requests. 0 means that the usage is always too old; `None` means that it is never too old.
     pub(super) fn max_cache_age(&self) -> Option<Millis> {
         if self.unresponsive {
             Some(0.0)
@@ -156,12 +161,12 @@
         self.consecutive_rejections = 0;
         self.consecutive_fast_replies =
             if delay_ratio < FAST_REPLY_SHARE { self.consecutive_fast_replies + 1 } else { 0 };
-        let step = if self.consecutive_fast_replies >= MIN_CONSECUTIVE_FAST_REPLIES {
+        let log_step = if self.consecutive_fast_replies >= MIN_CONSECUTIVE_FAST_REPLIES {
             -FAST_REPLY_STEP
         } else {
             BACKOFF_GAIN * (delay_ratio - 1.0).min(MAX_EXCESS_DELAY)
         };
-        self.backoff_factor *= step.exp();
+        self.backoff_factor *= log_step.exp();
     }
 
     fn raise_backoff(&mut self, now: Millis, rejected: bool) {
--- a/src/policy/counter_key.rs
+++ b/src/policy/counter_key.rs
@@ -4,8 +4,8 @@
 use super::disposition::Disposition;
 use crate::ids::{CounterKey, Millis, TenantId};
 
-/// Period in which gateways use one counter key, ms: half of [`COUNTER_KEY_TTL`], so that the key can still
-/// be read once more after its period.
+/// Length of the period in which gateways use one counter key, ms: half of [`COUNTER_KEY_TTL`], so that the
+/// key can still be read once more after its period.
 pub(super) const COUNTER_KEY_PERIOD: Millis = 30_000.0;
 /// Time after which the counter service deletes a key, ms: the longest time to live that the service allows.
 pub(super) const COUNTER_KEY_TTL: Millis = 60_000.0;
@@ -21,7 +21,7 @@
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Multiplier of each mixing round of the key hash, from the `xmx` mixer.
 const MIX_MULTIPLIER: u64 = 0xd6e8_feb8_6659_fd93;
-/// Mixing rounds of the key hash.
+/// Number of mixing rounds of the key hash.
 const MIX_ROUNDS: usize = 2;
 
 /// Number of the key period that contains the time `now`.
@@ -30,7 +30,7 @@
 }
 
 /// The key that counts a tenant's units of one disposition in one period. Every gateway computes the same key
-/// as long as the gateways' clocks agree; gateways whose clocks differ would count under different keys.
+/// for one period. Gateways whose clocks differ use different keys while the clocks are in different periods.
 pub(super) fn counter_key(tenant: TenantId, disposition: Disposition, period: i64) -> CounterKey {
     let disposition_bit = match disposition {
         Disposition::Forwarded => 0,
--- a/src/policy/counter_sync.rs
+++ b/src/policy/counter_sync.rs
@@ -1,41 +1,44 @@
-//! Synchronization of one counter of a tenant: the units that this gateway has sent to the counter service,
-//! and the total that it last read from the service.
+//! Synchronization of a tenant's units of one disposition with the counter service: the units that this
+//! gateway sends to the service, and the total that it last read from the service.
 
 use super::counter_key::COUNTER_KEY_PERIOD;
 use crate::ids::{CounterKey, Millis};
 
-/// Totals that differ by less than this many units count as equal, because the simulator's protocol
-/// carries them in single precision.
+/// A total that is lower than expected by at most this many units is no sign of a counter restart, because
+/// the simulator's protocol carries totals in single precision.
 const TOTAL_TOLERANCE: f64 = 0.01;
 
-/// The final read, in flight, of a counter key whose period is over.
+/// A final read in flight. It reads a counter key once more after the period of the key has ended.
 #[derive(Clone, Copy)]
 struct FinalRead {
     key: CounterKey,
     /// Total that the previous read of the key returned.
-    total: f64,
+    previous_total: f64,
 }
 
 /// Units that other gateways have counted since the previous read.
 pub(super) struct RemoteUnits {
     pub(super) units: f64,
-    /// Time of the previous read.
-    pub(super) since: Millis,
+    /// Time of the previous read; before the first read, the start of the first period.
+    pub(super) previous_read_at: Millis,
 }
 
-/// Synchronization state of one counter: one tenant's units of one disposition.
+/// State of the synchronization of one tenant's units of one disposition.
 pub(super) struct CounterSync {
     /// Units that have not been sent to the counter.
     unsent: f64,
-    /// Units that the call in flight adds to the counter; `None` if no call is in flight.
-    awaiting_reply: Option<f64>,
-    /// Units of calls that ended without a reply. The counter may have added them; the rise of the next total
-    /// shows how many.
+    /// Units, possibly 0, that the call in flight adds to the counter. `None` if no call other than a final
+    /// read is in flight.
+    units_in_flight: Option<f64>,
+    /// Units of failed calls that the counter may have added. The rise of the next total is attributed to
+    /// these units before any of it is attributed to other gateways.
     unacknowledged: f64,
-    /// Total of the current key as last read.
+    /// Total of the current key as last read; 0 before the first read of the key.
     last_total: f64,
     /// Number of the current key's period.
     period: i64,
+    /// Time of the last successful call other than a final read. Before the first such call, the start of the
+    /// period in which this state was created.
     read_at: Millis,
     final_read: Option<FinalRead>,
 }
@@ -44,7 +47,7 @@
     pub(super) fn new(period: i64) -> Self {
         CounterSync {
             unsent: 0.0,
-            awaiting_reply: None,
+            units_in_flight: None,
             unacknowledged: 0.0,
             last_total: 0.0,
             period,
@@ -70,34 +73,35 @@
     }
 
     pub(super) fn is_awaiting_reply(&self) -> bool {
-        self.awaiting_reply.is_some()
+        self.units_in_flight.is_some()
     }
 
     pub(super) fn has_pending_calls(&self) -> bool {
-        self.awaiting_reply.is_some() || self.final_read.is_some()
+        self.units_in_flight.is_some() || self.final_read.is_some()
     }
 
     pub(super) fn has_final_read(&self) -> bool {
         self.final_read.is_some()
     }
 
-    /// Records that the old key is being read one last time. Without this read, units that other gateways
-    /// added to the key since the previous read would be missed.
+    /// Records that the final read of `key`, the key of the period that has ended, is in flight. Without this
+    /// read, units that other gateways added to the key since the previous read would be missed.
     pub(super) fn begin_final_read(&mut self, key: CounterKey) {
-        self.final_read = Some(FinalRead { key, total: self.last_total });
+        self.final_read = Some(FinalRead { key, previous_total: self.last_total });
     }
 
-    /// Switches to the key of another period; nothing has been read of that key yet.
+    /// Switches to the key of another period. The last total is reset because the new key has not been read
+    /// yet, and unacknowledged units are dropped.
     pub(super) fn move_to_period(&mut self, period: i64) {
         self.period = period;
         self.last_total = 0.0;
         self.unacknowledged = 0.0;
     }
 
-    /// Moves all unsent units into a new call and returns them.
+    /// Marks all unsent units as in flight in a new call and returns them.
     pub(super) fn begin_call(&mut self) -> f64 {
         let units = std::mem::take(&mut self.unsent);
-        self.awaiting_reply = Some(units);
+        self.units_in_flight = Some(units);
         units
     }
 
@@ -106,38 +110,38 @@
         self.final_read.is_some_and(|read| read.key == key)
     }
 
-    /// Ends the final read. If the counter returned a total, returns the units that other gateways have added
-    /// since the previous read.
+    /// Ends the final read in flight. If the counter returned a total, returns the units that other gateways
+    /// have added since the previous read.
     pub(super) fn end_final_read(&mut self, total: Option<f64>) -> Option<RemoteUnits> {
         let read = self.final_read.take()?;
-        let units = (total? - read.total).max(0.0);
-        Some(RemoteUnits { units, since: self.read_at })
+        let units = (total? - read.previous_total).max(0.0);
+        Some(RemoteUnits { units, previous_read_at: self.read_at })
     }
 
-    /// Records the total that the counter returned. The rise since the last total, less this gateway's own
-    /// units, is the units of other gateways.
+    /// Records the total that the counter returned, and returns the units of other gateways: the rise since
+    /// the last total, less this gateway's own units.
     pub(super) fn record_total(&mut self, now: Millis, total: f64) -> RemoteUnits {
-        let sent = self.awaiting_reply.take().unwrap_or(0.0);
+        let sent = self.units_in_flight.take().unwrap_or(0.0);
         // A total below the last total plus this call's units means that the counter restarted empty.
         let restarted = total + TOTAL_TOLERANCE < self.last_total + sent;
         let base = if restarted { 0.0 } else { self.last_total };
         let rise = (total - base - sent).max(0.0);
         let arrived = rise.min(self.unacknowledged);
         if base > 0.0 || self.last_total == 0.0 {
-            // Units that did not reach the counter are sent again, unless a restart of the counter has also
-            // lost the earlier total.
+            // Unacknowledged units that the counter has not added are sent again, unless the counter has lost
+            // the last total in a restart.
             self.unsent += self.unacknowledged - arrived;
         }
         self.unacknowledged = 0.0;
         self.last_total = total;
-        let since = std::mem::replace(&mut self.read_at, now);
-        RemoteUnits { units: rise - arrived, since }
+        let previous_read_at = std::mem::replace(&mut self.read_at, now);
+        RemoteUnits { units: rise - arrived, previous_read_at }
     }
 
-    /// Records that the call ended without a reply. `may_have_arrived` says whether the counter may still
-    /// have added the call's units.
+    /// Records that the call in flight, which is not a final read, failed. `may_have_arrived` says whether
+    /// the counter may have added the units nevertheless.
     pub(super) fn record_failure(&mut self, may_have_arrived: bool) {
-        let sent = self.awaiting_reply.take().unwrap_or(0.0);
+        let sent = self.units_in_flight.take().unwrap_or(0.0);
         if may_have_arrived {
             self.unacknowledged += sent;
         } else {
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -2,13 +2,14 @@
 //! in batches. In a large fleet almost every tenant is a low-traffic tenant, and a gateway knows the usage of
 //! such a tenant only for a short time after reading it from the counter.
 //!
-//! The usage is therefore kept on the counter, where a change is visible to all gateways at once. A counter
-//! key holds the units accepted since its period began. These units, less the units that the rate has
-//! refilled since then, are the usage in the sliding window. One call makes a reservation for a request and
-//! reads this usage, and the usage decides whether the request is admitted. If the request is not forwarded,
-//! its reservation is released. While the counter is congested, only some requests, chosen at random, make a
-//! call, and each call reserves units for the other requests too. A request for which there is neither a call
-//! nor a recent read is rejected with a probability equal to the tenant's recent rejection ratio.
+//! The usage is therefore kept on the counter, where a change is visible to all gateways at once. The total
+//! of a counter key contains the units reserved or forwarded since the period of the key began. This total,
+//! less the units that the rate has refilled in the period, is the tenant's usage. One call makes a
+//! reservation for a request and reads this usage, and the usage decides whether the request is admitted. If
+//! the request is not forwarded, its reservation is released. At a backoff factor above 1, only some
+//! requests, chosen at random, make a call, and each call also reserves units for the requests that make no
+//! call. A request for which the usage has not been read is rejected with a probability equal to the tenant's
+//! recent rejection ratio.
 //!
 //! If each gateway estimated the tenant's rate on its own, all gateways could admit requests for the same
 //! last units of the quota, or could all reject requests although units are unused. The shared total on the
@@ -29,14 +30,16 @@
 /// Lower bound of the call probability for a tenant with a ceiling, unless the probability for other tenants
 /// is smaller.
 const MIN_CALL_PROBABILITY: f64 = 0.1;
-/// A total that is below the refilled units by more than this multiple of the burst is raised to them.
-/// Without this correction, units that have accumulated beyond the burst would be admitted at once. Smaller
-/// differences are not corrected, which saves calls.
+/// A total that is below the refilled units by more than this multiple of the burst is raised to the refilled
+/// units. Without this correction, units that have accumulated beyond the burst would be admitted at once.
+/// Smaller differences are not corrected, which saves calls.
 const MAX_TOTAL_LAG: f64 = 1.0;
-/// A total that is above the refilled units by more than this multiple of the burst is lowered until it
-/// exceeds them by this multiple. Such a total arises when two gateways raise it at the same time.
+/// A total that is above the refilled units by more than this multiple of the burst is lowered to the
+/// refilled units plus this multiple of the burst. Such a total arises when two gateways raise a total at the
+/// same time.
 const MAX_TOTAL_LEAD: f64 = 2.0;
-/// Gain with which a decision that is based on a read changes the recent rejection ratio.
+/// Weight of a new admission decision in the recent rejection ratio. Only decisions that are based on the
+/// observed usage change the ratio.
 const REJECTION_RATIO_GAIN: f64 = 0.3;
 /// Time constant of the decay of the recent rejection ratio, ms. Tenants exceed their quotas for seconds to
 /// hours.
@@ -52,36 +55,37 @@
     reserved_for: Option<RequestId>,
 }
 
-/// Exponentially decaying share of rejected requests.
+/// Share of rejected requests, 0 to 1, at the time of the last update; it decays exponentially.
 #[derive(Clone, Copy)]
 struct RejectionRatio {
     updated_at: Millis,
     ratio: f64,
 }
 
-/// The tenant's usage as last read, plus the units that this gateway has forwarded since then.
+/// The tenant's usage as last read, plus the units of requests that this gateway has since forwarded on the
+/// basis of an observed usage.
 #[derive(Clone, Copy)]
 struct CachedUsage {
     read_at: Millis,
     units: f64,
 }
 
-/// A tenant's current counter key.
+/// The counter key that a tenant uses in the current period.
 struct CurrentKey {
     key: CounterKey,
     /// Units that the rate has refilled since the key's period began.
     refilled: f64,
 }
 
-/// What the gateway learns from the counter's reply to a reservation.
+/// Usage and correction, computed from the total that the counter returned for a reservation.
 pub(super) struct ReservationReply {
-    /// Usage of the quota including the request, units.
+    /// Usage of the quota including the request for which the reservation was made, units.
     pub(super) observed_usage: f64,
     /// Units to add to the key to correct its total, if necessary.
     pub(super) correction: Option<f64>,
 }
 
-/// Usage of a quota, reserved on the counter.
+/// A low-traffic tenant's usage of its quota, tracked through reservations on the counter.
 pub(super) struct LowTrafficUsage {
     quota: Quota,
     has_ceiling: bool,
@@ -104,8 +108,9 @@
         }
     }
 
-    /// The current key. The usage that is left on the previous key, at most one burst, is ignored, because
-    /// reading it would cost additional calls.
+    /// The counter key of the tenant's period that contains `now`. The usage that is left on the key of the
+    /// previous period, normally at most one burst, is ignored, because reading it would cost additional
+    /// calls.
     fn current_key(&self, tenant: TenantId, now: Millis) -> CurrentKey {
         let stagger =
             (tenant.0 % PERIOD_STAGGER_STEPS) as f64 / PERIOD_STAGGER_STEPS as f64 * COUNTER_KEY_PERIOD;
@@ -115,7 +120,7 @@
         CurrentKey { key, refilled }
     }
 
-    /// The probability with which a request makes a call.
+    /// The probability with which a request, or the release of its reservation, makes a counter call.
     pub(super) fn call_probability(&self, backoff_factor: f64) -> f64 {
         let power = if self.has_ceiling { CEILING_BACKOFF_POWER } else { 1.0 };
         backoff_factor.powf(-power).max(MIN_CALL_PROBABILITY.min(1.0 / backoff_factor))
@@ -130,8 +135,8 @@
     // ---- Calls --------------------------------------------------------------------------------
 
     /// Begins a reservation for a request of `units`. The reservation also covers the requests that make no
-    /// call; `call_probability` is the share of requests that make one. Returns the reservation, and the
-    /// units to add to the counter for the reservation and all unsent units.
+    /// call; `call_probability` is the share of requests that make a call. Returns the reservation, and the
+    /// units to add to the counter: the units of the reservation plus all unsent units.
     pub(super) fn begin_reservation(
         &mut self,
         now: Millis,
@@ -144,8 +149,8 @@
         (reservation, reservation.units + std::mem::take(&mut self.unsent))
     }
 
-    /// The current key and the unsent units, which the gateway sends to the counter now; `None` while the
-    /// last read is recent enough that unsent units can wait.
+    /// Takes the unsent units, possibly 0, so that they can be sent to the counter. Returns the current key
+    /// and these units, or `None` while the last read is so recent that unsent units can wait.
     pub(super) fn begin_flush(
         &mut self,
         now: Millis,
@@ -159,8 +164,9 @@
         Some((self.current_key(tenant, now).key, std::mem::take(&mut self.unsent)))
     }
 
-    /// Units to release from the reservation of a request of `units` that is not forwarded. The part of the
-    /// reservation that covers requests admitted without a call is kept.
+    /// Units to release from the reservation of a request of `units` that is not forwarded. The reservation
+    /// keeps the units for requests that are admitted without a call; their share is estimated from the
+    /// recent rejection ratio.
     pub(super) fn units_to_release(&self, now: Millis, reservation: Reservation, units: f64) -> f64 {
         units + (reservation.units - units) * self.recent_rejection_ratio(now)
     }
@@ -198,47 +204,49 @@
         let net_usage = total - reservation.units - current.refilled;
         let used = net_usage.max(0.0);
         self.cached_usage = Some(CachedUsage { read_at: now, units: used });
-        let lags = net_usage < -MAX_TOTAL_LAG * burst;
-        let leads = net_usage > MAX_TOTAL_LEAD * burst;
-        let target = if net_usage < 0.0 { 0.0 } else { MAX_TOTAL_LEAD * burst };
-        let correction = (current.key == reservation.key && (lags || leads)).then_some(target - net_usage);
+        let too_low = net_usage < -MAX_TOTAL_LAG * burst;
+        let too_high = net_usage > MAX_TOTAL_LEAD * burst;
+        let target_usage = if net_usage < 0.0 { 0.0 } else { MAX_TOTAL_LEAD * burst };
+        let correction =
+            (current.key == reservation.key && (too_low || too_high)).then_some(target_usage - net_usage);
         ReservationReply { observed_usage: used + units, correction }
     }
 
     // ---- Admission ----------------------------------------------------------------------------
 
-    /// Decides whether the quota admits a request. The observed usage decides if there is one, otherwise the
-    /// recent rejection ratio. A decision by the observed usage changes that ratio. `roll` is a uniform draw
-    /// from 0 to 1.
+    /// Decides whether the quota admits a request. The decision is based on the observed usage or, if it is
+    /// `None`, on the recent rejection ratio. A decision based on the observed usage changes the recent
+    /// rejection ratio. `roll` is a uniform draw from 0 to 1.
     pub(super) fn decide_admission(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> bool {
         let burst = self.quota.burst;
         let admitted = match check.observed_usage {
-            // In a window of burst / rate, used / burst equals perceived rate / rate.
+            // Over a window of burst / rate seconds, used / burst equals perceived rate / rate.
             Some(used) => used <= burst * HARD_LIMIT_FACTOR && roll >= 1.0 - burst / used,
             None => roll >= self.recent_rejection_ratio(now),
         };
         if check.observed_usage.is_some() {
-            self.record_admission(now, admitted);
+            self.record_decision(now, admitted);
         }
         admitted
     }
 
-    /// Share of this tenant's recent requests that were rejected, 0 to 1.
+    /// Share of rejections among the tenant's recent decisions that were based on the observed usage, 0 to 1.
+    /// The share decays with time and is 0 before the first such decision.
     fn recent_rejection_ratio(&self, now: Millis) -> f64 {
         self.recent_rejections.map_or(0.0, |recent| {
             recent.ratio * (-(now - recent.updated_at) / REJECTION_RATIO_TIME_CONSTANT).exp()
         })
     }
 
-    fn record_admission(&mut self, now: Millis, admitted: bool) {
+    fn record_decision(&mut self, now: Millis, admitted: bool) {
         let before = self.recent_rejection_ratio(now);
         let sample = if admitted { 0.0 } else { 1.0 };
         let ratio = before + REJECTION_RATIO_GAIN * (sample - before);
         self.recent_rejections = Some(RejectionRatio { updated_at: now, ratio });
     }
 
-    /// Adds a forwarded request to the cached usage. If the request has no reservation, its units are sent to
-    /// the counter later.
+    /// Adds the units of a forwarded request to the cached usage, if the request was admitted on the basis of
+    /// the observed usage. If the request has no reservation, its units are sent to the counter later.
     pub(super) fn record_forwarded(&mut self, check: &QuotaCheck, units: f64) {
         if check.observed_usage.is_none() {
             return;
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -4,11 +4,11 @@
 use super::gateway::Gateway;
 use crate::ids::{Millis, RequestId};
 
-/// Maximum length of the queue, as a share of the concurrency limit. Requests beyond it, which are those of
-/// the lowest value, are rejected early.
+/// Maximum length of the queue, as a share of the concurrency limit. When the queue is longer, the requests
+/// of the lowest value are rejected early.
 const MAX_QUEUE_SHARE: f64 = 0.5;
-/// Factor on a request's value when it arrives. The factor decreases linearly with the waiting time, by 1 up
-/// to the request's latency objective.
+/// Factor by which the value of a request is multiplied when the request arrives. The factor decreases
+/// linearly with the waiting time and is lower by 1 when the request reaches its latency objective.
 const INITIAL_VALUE_FACTOR: f64 = 1.2;
 
 /// A queued request and its value, by which the queue is ordered.
@@ -22,8 +22,8 @@
         self.queue.insert(id);
     }
 
-    /// Forwards queued requests in descending order of value. Rejects those that can no longer meet their
-    /// latency objective and those beyond the maximum length of the queue.
+    /// Dispatches queued requests in descending order of value. Rejects requests that can no longer meet
+    /// their latency objective and, if the queue is bounded, requests beyond its maximum length.
     pub(super) fn process_queue(&mut self, now: Millis) {
         for (position, queued) in self.drain_queue_by_value(now).into_iter().enumerate() {
             let id = queued.id;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,12 +1,13 @@
-//! A tenant's quota, and the state of checking one request against it.
+//! A tenant's quota, and the state of the check of one request against the quota.
 
 use crate::ids::{CounterKey, Millis};
 
-/// Multiple of the quota above which probabilistic rejection ends and every request beyond the quota is
-/// rejected. The multiple is close to 1 because units forwarded beyond the quota earn nothing.
+/// Multiple of the burst at which probabilistic rejection ends. If the demand reaches this multiple, or the
+/// usage of a low-traffic tenant exceeds it, every request beyond the quota is rejected. The multiple is
+/// close to 1 because units forwarded beyond the quota earn nothing.
 pub(super) const HARD_LIMIT_FACTOR: f64 = 1.05;
 
-/// The quota of one tenant, for all its gateways together.
+/// The quota of one tenant, which applies to all gateways together.
 #[derive(Clone, Copy)]
 pub(super) struct Quota {
     /// Refill rate of the token bucket, units per second.
@@ -24,7 +25,7 @@
     }
 }
 
-/// Units reserved on the counter for a request. While the counter is congested, a reservation also covers the
+/// Units reserved on the counter for a request. At a backoff factor above 1, a reservation also covers the
 /// requests that are checked without a counter call.
 #[derive(Clone, Copy)]
 pub(super) struct Reservation {
@@ -40,6 +41,7 @@
     /// The quota has admitted the request; the check is not repeated.
     pub(super) admitted: bool,
     pub(super) reservation: Option<Reservation>,
-    /// Usage of the quota including this request, as read from the counter, units; `None` without a read.
+    /// Usage of the quota including this request, units, from the reply to its reservation or from a cached
+    /// read. `None` if the usage has not been read for this request.
     pub(super) observed_usage: Option<f64>,
 }
--- a/src/policy/sliding_window.rs
+++ b/src/policy/sliding_window.rs
@@ -4,16 +4,16 @@
 use crate::ids::Millis;
 use std::collections::VecDeque;
 
-/// Units counted in one bucket of time.
+/// Units counted in one interval of the window.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the bucket: its start time divided by the bucket width.
+    /// Start time of the bucket divided by the bucket width.
     index: i64,
     /// Units forwarded by this gateway.
     forwarded_locally: f64,
-    /// Units forwarded by all gateways, as far as this gateway knows.
+    /// Units forwarded by all gateways, as known or assumed by this gateway.
     forwarded: f64,
-    /// Units that the gateways did not forward, as far as this gateway knows.
+    /// Units that the gateways did not forward, as known or assumed by this gateway.
     not_forwarded: f64,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Units of forwarded and not forwarded requests over time.
+/// Units of one tenant's requests, counted by disposition and by time.
 pub(super) struct SlidingWindow {
     bucket_width: Millis,
     /// Buckets in ascending order of their index; buckets without units may be missing.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Adds units of requests that any gateway decided on at the time `at`.
+    /// Adds units that were forwarded or not forwarded, by any gateway, at the time `at`.
     pub(super) fn add(&mut self, disposition: Disposition, at: Millis, units: f64) {
         let bucket = self.bucket_at(at);
         match disposition {
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -9,16 +9,18 @@
 use crate::ids::Millis;
 use crate::settings::Plan;
 
-/// A tenant is evicted after it has been idle for this long, ms, and its buckets have refilled. The time is
-/// at least the period of a counter key, so that a tenant that returns after its eviction does not read the
-/// old units of the same key again. A much longer time would keep every tenant that sends a single request in
-/// memory.
+/// Minimum time, ms, that a tenant has to be idle before it is evicted. The idle time must also be long
+/// enough for the tenant's buckets to refill, and no attempt or counter call of the tenant may be in flight.
+/// The minimum is at least the period of a counter key, so that a tenant that returns after its eviction does
+/// not read the old units of the same key again. A much longer time would keep every tenant that sends a
+/// single request in memory.
 const EVICT_IDLE_AFTER: Millis = COUNTER_KEY_PERIOD;
-/// A tenant without a ceiling is a low-traffic tenant if one gateway's part of the burst is below this factor
-/// times the largest request: the gateway then receives too few of its requests to count them in batches.
+/// A tenant with a quota but no ceiling is a low-traffic tenant if one gateway's part of the burst is below
+/// this factor times the units of the largest request. The gateway then receives too few of the tenant's
+/// requests to count them in batches.
 const LOW_TRAFFIC_FACTOR: f64 = 0.75;
-/// A tenant with a ceiling is a low-traffic tenant if one gateway's part of the burst is below this factor
-/// times the largest request.
+/// A tenant with a quota and a ceiling is a low-traffic tenant if one gateway's part of the burst is below
+/// this factor times the units of the largest request.
 const LOW_TRAFFIC_FACTOR_WITH_CEILING: f64 = 2.0;
 
 /// How the gateway tracks a tenant's usage of its quota.
@@ -36,7 +38,7 @@
     /// Number of gateways that receive the tenant's requests; at least 1.
     gateway_count: f64,
     last_seen: Millis,
-    /// Number of attempts in flight.
+    /// Number of the tenant's attempts that this gateway has in flight.
     in_flight: f64,
     pub(super) ceiling: CeilingBucket,
     /// When the token buckets were last refilled.
@@ -45,8 +47,9 @@
 }
 
 impl Tenant {
-    /// A tenant whose first request has just arrived. Its buckets have been refilling since this gateway
-    /// started at `started_at`. `max_units` is the size of the largest request.
+    /// Creates the state for a tenant that has no state at this gateway, when a request of the tenant arrives
+    /// at `now`. The ceiling's bucket is empty at `started_at`, the time at which this gateway started, and
+    /// refills from then on. `max_units` is the number of units of the largest request.
     pub(super) fn new(
         plan: Plan,
         gateway_count: f64,
@@ -92,7 +95,7 @@
         self.ceiling.refill(seconds);
     }
 
-    /// Counts a request that this gateway forwarded or did not forward. For `max_cache_age` see
+    /// Counts the units of a request that this gateway forwarded or did not forward. For `max_cache_age` see
     /// [`CounterHealth::max_cache_age`](super::counter_health::CounterHealth::max_cache_age).
     pub(super) fn record(
         &mut self,
@@ -120,13 +123,15 @@
     /// Whether this gateway's part of the plan's limit on attempts in flight is used up. Each gateway allows
     /// an equal part of the limit, but at least one attempt. The gateways together therefore keep any limit
     /// of at least one attempt per gateway without communicating. The cost is that a tenant whose requests
-    /// arrive at one gateway has to wait until one of its attempts there ends.
+    /// all arrive at one gateway cannot use the parts of the other gateways: it has to wait until one of its
+    /// attempts there ends.
     pub(super) fn is_at_in_flight_limit(&self) -> bool {
         let limit = self.plan.max_in_flight;
         limit > 0.0 && self.in_flight >= (limit / self.gateway_count).floor().max(1.0)
     }
 
-    /// Time until a rejected request of `units` may be admitted, ms.
+    /// Estimated time until a rejected request of `units` may be admitted, ms. For a low-traffic tenant, the
+    /// estimate assumes that the quota is used up.
     pub(super) fn time_until_admission(&self, units: f64) -> Millis {
         let missing = match &self.usage {
             Usage::LowTraffic(_) => units,
