--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,5 +1,6 @@
 //! Runs gateways for the simulator: reads frames from standard input and writes replies to standard output.
-//! The process exits when the input ends, and exits with an error if the input violates the protocol.
+//! The process exits successfully when the input ends. It exits with a failure if the input violates the
+//! protocol, or if reading or writing fails.
 
 use rate_limiting_gateway::simulator::GatewayHost;
 use std::io::{stdin, stdout, BufWriter};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,9 +2,9 @@
 //! quota of its plan, and each gateway chooses a server for every request that it forwards.
 //!
 //! [`policy::Gateway`] makes the decisions of one gateway. It is created from [`settings`] and a seed,
-//! handles [`event`]s with their times, and appends the [`action`]s to execute. It does no I/O and reads no
-//! clock. [`net`] runs a gateway on real sockets, [`simulator`] runs gateways behind the simulator's
-//! protocol, and [`config`] reads the settings for both.
+//! handles [`event`]s, and returns the [`action`]s to execute. It does no I/O and reads no clock: its caller
+//! passes the current time with each event. [`net`] runs a gateway on real sockets, [`simulator`] runs
+//! gateways behind the simulator's protocol, and [`config`] reads the settings for both.
 //!
 //! ```
 //! use rate_limiting_gateway::action::Action;
--- a/src/main.rs
+++ b/src/main.rs
@@ -42,8 +42,8 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ProcessError::Runtime)?;
     let local = tokio::task::LocalSet::new();
-    // The gateway runs as a spawned task: the future passed to `block_on` would be polled each time any task
-    // wakes.
+    // The gateway runs as a spawned task, because a future passed to `block_on` directly would be polled each
+    // time any task wakes.
     let serving = local.spawn_local(serve(config, config_path));
     local.block_on(&runtime, serving)??;
     Ok(())
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,4 +1,4 @@
-//! The Unix time that the gateway's decisions are based on.
+//! The clock that supplies the Unix time for the gateway's decisions.
 
 use crate::ids::Millis;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -7,7 +7,7 @@
 /// monotonic clock.
 ///
 /// Counter keys are derived from the time, so all gateways need a common epoch. If the system clock is set
-/// back while the process runs, this clock and the counter keys must not follow it.
+/// back while the process runs, this clock must not go back, because the counter keys would go back as well.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_at_start: Millis,
@@ -26,7 +26,7 @@
         self.unix_at_start + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Converts Unix time `at`, ms, to monotonic time. A time before the clock's start becomes that start.
+    /// Converts a Unix time, ms, to monotonic time. Returns the clock's start for times before the start.
     pub fn instant_at(&self, at: Millis) -> Instant {
         self.start + Duration::from_secs_f64(((at - self.unix_at_start) / 1000.0).max(0.0))
     }
--- a/src/net/connection_limits.rs
+++ b/src/net/connection_limits.rs
@@ -6,17 +6,17 @@
 /// to the counter (twice as many while the gateway moves to a new counter address), the connection to
 /// discovery, the listener and the descriptors of the runtime.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Share of the connections that clients get; servers get the rest. A request needs one connection to a
-/// server, and a hedged request needs two.
+/// Share of all connections that is reserved for clients. The remainder is for connections to servers, of
+/// which a request uses one, or two while a hedged request is in flight.
 const CLIENT_SHARE: f64 = 0.5;
-/// Share of the memory limit that all connections together may use in the worst case.
+/// Share of the memory limit that all client and server connections together may use in the worst case.
 const MEMORY_SHARE: f64 = 0.6;
-/// Memory, MB, that one connection uses in the worst case: its buffers, one request body and one response
+/// Memory, MB, that one connection uses in the worst case, for its buffers, one request body and one response
 /// body.
 const CONNECTION_MEMORY_MB: f64 = 0.16;
-/// Lower bound of the number of client and server connections together, whatever the process limits are.
+/// Minimum of the combined limit for client and server connections, even if the process limits are lower.
 const MIN_CONNECTIONS: usize = 16;
-/// Upper bound of the number of client and server connections together, whatever the process limits are.
+/// Maximum of the combined limit for client and server connections, even if the process limits are higher.
 const MAX_CONNECTIONS: usize = 4096;
 
 /// The maximum numbers of connections that may be open at the same time.
@@ -31,9 +31,9 @@
 impl ConnectionLimits {
     /// Calculates the connection limits from the file descriptors and the memory that the process may use.
     pub fn from_process_limits(limits: Limits) -> Self {
-        let by_memory = (limits.memory_mb * MEMORY_SHARE / CONNECTION_MEMORY_MB).max(0.0) as usize;
-        let by_descriptors = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS);
-        let total = by_descriptors.min(by_memory).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS);
+        let max_by_memory = (limits.memory_mb * MEMORY_SHARE / CONNECTION_MEMORY_MB).max(0.0) as usize;
+        let max_by_descriptors = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS);
+        let total = max_by_descriptors.min(max_by_memory).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS);
         let max_clients = (total as f64 * CLIENT_SHARE) as usize;
         ConnectionLimits { max_clients, max_upstream: total - max_clients }
     }
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! Keeps the address and state of each server that discovery reports.
+//! Keeps the address of each server that discovery reports, and whether the server accepts new requests.
 
 use super::discovery::{EndpointEntry, EndpointList};
 use crate::event::{Endpoint, EndpointState, EndpointUpdate};
@@ -11,18 +11,18 @@
 /// Zone number of a server whose zone is not in the configuration.
 const UNKNOWN_ZONE: u16 = u16::MAX;
 
-/// The reason why an entry of a server list is ignored.
+/// The reason why an entry of an endpoint list is ignored.
 #[derive(Debug, Error)]
 pub enum EndpointError {
-    /// The entry is not JSON of the expected form.
+    /// The entry is invalid JSON, or one of its fields is missing or has the wrong type.
     #[error("malformed entry: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The entry's phase is unknown.
+    /// The entry's phase is not `Ready`, `Terminating` or `Gone`.
     #[error("server {id} has unknown phase {phase:?}")]
     UnknownPhase {
         /// The server's id in the list.
         id: String,
-        /// The phase as the list gives it.
+        /// The phase in the list.
         phase: String,
     },
     /// Another server with the same [`ServerId`] is already registered.
@@ -32,10 +32,10 @@
         id: String,
         /// The numeric id of both servers.
         server: ServerId,
-        /// The list id of the server that was registered first.
+        /// The id, in the list, of the server that was registered first.
         other: String,
     },
-    /// The entry has no valid address.
+    /// The entry's address is missing or is not an IP address with a port.
     #[error("server {id} has no valid address: {source}")]
     InvalidAddress {
         /// The server's id in the list.
@@ -46,8 +46,8 @@
 }
 
 impl EndpointError {
-    /// A collision is logged as an error: it lasts until one of the two servers is renamed, and one of them
-    /// gets no requests until then.
+    /// Returns the level at which the reason is logged. A collision is an error, because one of the two
+    /// servers gets no requests until either is renamed or the registered one is removed.
     fn log_level(&self) -> Level {
         match self {
             EndpointError::ServerIdCollision { .. } => Level::Error,
@@ -56,11 +56,11 @@
     }
 }
 
-/// A server list, decoded for the policy.
+/// An endpoint list, decoded for the policy.
 pub struct DecodedList {
-    /// The entries that were decoded.
+    /// The valid entries, in the order of the list.
     pub endpoints: Vec<Endpoint>,
-    /// Whether all entries were decoded. If one was ignored, the registry may lack a change.
+    /// Whether all entries were valid. If one was ignored, the registry may lack a change.
     pub all_decoded: bool,
 }
 
@@ -71,7 +71,7 @@
     ready: bool,
 }
 
-/// The servers that discovery has listed and not removed since.
+/// The servers in the current endpoint list whose entries were valid, including draining servers.
 pub struct EndpointRegistry {
     zones: Vec<String>,
     endpoints: HashMap<ServerId, RegisteredEndpoint>,
@@ -105,7 +105,7 @@
             match entry.map_err(EndpointError::from).and_then(|entry| self.register(&entry)) {
                 Ok(endpoint) => decoded.endpoints.push(endpoint),
                 Err(error) => {
-                    log::log!(error.log_level(), "discovery: ignored one entry of the server list: {error}");
+                    log::log!(error.log_level(), "discovery: ignored an endpoint list entry: {error}");
                     decoded.all_decoded = false;
                 }
             }
@@ -142,17 +142,18 @@
         })
     }
 
-    /// Parses the address of an entry. If a draining server's entry has no valid address, a server that is
-    /// registered keeps its address, so that the drain still takes effect.
+    /// Parses the address of an entry. If the entry of a draining server has no valid address, this returns
+    /// the address under which the server is already registered, so that the drain still takes effect.
     fn decode_address(
         &self,
         entry: &EndpointEntry<'_>,
         server: ServerId,
         ready: bool,
     ) -> Result<SocketAddr, EndpointError> {
-        let known = if ready { None } else { self.address(server) };
+        let registered_address = if ready { None } else { self.address(server) };
         entry.host_port.parse().or_else(|source| {
-            known.ok_or_else(|| EndpointError::InvalidAddress { id: entry.id.to_string(), source })
+            registered_address
+                .ok_or_else(|| EndpointError::InvalidAddress { id: entry.id.to_string(), source })
         })
     }
 
@@ -171,15 +172,15 @@
     }
 }
 
-/// Derives the numeric id of a server, which is the same at every gateway. If the part of its id in the list
-/// after the last hyphen (without a hyphen, the whole id) is a hexadecimal number of eight characters, the
-/// result is that number. Otherwise the result is the 32-bit FNV-1a hash of the whole id.
+/// Derives the numeric id of a server from its id in the list, so that it is the same at every gateway. If
+/// the text after the last hyphen, or the whole id if it has no hyphen, is a hexadecimal number of eight
+/// characters, the result is this number. Otherwise the result is the 32-bit FNV-1a hash of the whole id.
 fn server_id(id: &str) -> ServerId {
     const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
     const FNV_PRIME: u32 = 0x0100_0193;
     let suffix = id.rsplit('-').next().unwrap_or(id);
-    let number = if suffix.len() == 8 { u32::from_str_radix(suffix, 16).ok() } else { None };
-    ServerId(number.unwrap_or_else(|| {
+    let numeric_suffix = if suffix.len() == 8 { u32::from_str_radix(suffix, 16).ok() } else { None };
+    ServerId(numeric_suffix.unwrap_or_else(|| {
         id.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME))
     }))
 }
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,9 +1,9 @@
 //! Passes the events of the sockets and timers to the policy in order, and executes the actions that the
 //! policy returns.
 //!
-//! A process has one [`EventLoop`], on one thread. Events are passed to [`EventLoop::dispatch`]. Executing an
-//! action may produce another event at once, so events are queued: the policy gets an event only after the
-//! actions of the previous event have been executed.
+//! A process has one [`EventLoop`], on one thread. Other modules pass events to [`EventLoop::dispatch`].
+//! Executing an action may produce another event immediately, so events are queued: the policy handles an
+//! event only after the actions of the previous event have been executed.
 
 use super::clock::Clock;
 use super::counter::{CompletedCall, CounterClient, Increment};
@@ -33,31 +33,33 @@
 
 pub use super::request_table::Answer;
 
-/// Time, ms, by which the policy's deadline for a request is earlier than the client's: the client counts its
-/// deadline from the moment it sent the request, and the response needs time to reach it.
+/// Time, ms, between the policy's deadline for a request and the client's later deadline. It is needed
+/// because the client's deadline runs from when it sent the request, and the response takes time to reach the
+/// client.
 const RESPONSE_MARGIN: Millis = 20.0;
-/// Time, ms, before a request's deadline at which the event loop answers the request as timed out if it has
-/// no answer yet. It is shorter than [`RESPONSE_MARGIN`], so that the policy can answer the request first.
+/// The event loop answers a request as timed out this long, ms, before the client's deadline, if the request
+/// has no answer yet. The time is shorter than [`RESPONSE_MARGIN`], so that the policy can answer first.
 const DEADLINE_MARGIN: Millis = 8.0;
 /// Time, ms, between two checks of the connections to servers and to the counter.
 const CONNECTION_CHECK_INTERVAL: Millis = 500.0;
 
 /// A client request that has been read completely.
 pub struct IncomingRequest {
-    /// The request as the policy sees it; the event loop assigns its id.
+    /// The request for the policy. The event loop assigns its id and shortens its `time_left`.
     pub request: Request,
     /// The request that is sent to a server.
     pub forwarded_request: ForwardedRequest,
-    /// The client's connection, which closes when the task that serves it drops its reference.
+    /// The client's connection. The reference is weak, so that the connection closes as soon as the task that
+    /// serves it ends.
     pub client: Weak<TcpStream>,
 }
 
-/// The policy and the actions that it has returned.
+/// The policy and the actions that it has returned but that have not been executed yet.
 struct Policy {
     gateway: Gateway,
-    /// The actions that the gateway returns for the event that it is handling.
+    /// Buffer for the actions that the policy returns for one event; empty between events.
     new_actions: Vec<Action>,
-    /// Actions that have not been executed yet.
+    /// Actions that wait to be executed, in order.
     pending_actions: VecDeque<Action>,
 }
 
@@ -81,8 +83,8 @@
     endpoints: RefCell<EndpointRegistry>,
     /// Events that the policy has not handled yet.
     events: RefCell<VecDeque<Event>>,
-    /// Whether [`run_until_idle`](Self::run_until_idle) is on the call stack. That call also handles the
-    /// events that are enqueued meanwhile.
+    /// Whether [`run_until_idle`](Self::run_until_idle) is on the call stack. The running call also handles
+    /// events that are enqueued before it returns.
     running: Cell<bool>,
     timers: TimerQueue,
     ready: Cell<bool>,
@@ -93,7 +95,7 @@
 
 impl EventLoop {
     /// Creates an event loop that opens at most `max_upstream_connections` connections to servers. It starts
-    /// with the server list in the configuration, if there is one.
+    /// with the cached endpoint list in the configuration, if there is one.
     pub fn new(config: &Config, max_upstream_connections: usize) -> Rc<Self> {
         let counter_call_timeout = counter_call_timeout(&config.settings);
         let gateway = Gateway::new(config.settings.clone(), config.seed);
@@ -140,23 +142,23 @@
         self.clock.now()
     }
 
-    /// The client of the counter service.
+    /// The client through which the counter service is called.
     pub fn counter(&self) -> &CounterClient {
         &self.counter
     }
 
-    /// The names of classes, plans and zones.
+    /// The names of classes, plans and zones, as read at startup.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// The settings of the policy.
+    /// The settings of the policy, as read at startup.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Time after discovery reports that a server is draining within which the gateway has to stop sending
-    /// new requests to it.
+    /// Time within which the gateway has to stop sending new requests to a server after discovery reports
+    /// that the server is draining.
     pub fn drain_grace(&self) -> Duration {
         self.drain_grace
     }
@@ -167,20 +169,20 @@
         self.ready.get() && !self.endpoints.borrow().is_empty()
     }
 
-    /// Lets the gateway report itself ready with its current server list.
+    /// Lets [`is_ready`](Self::is_ready) return true as soon as a server is registered.
     pub fn set_ready(&self) {
         self.ready.set(true);
     }
 
-    /// Number of requests that have no final answer yet.
+    /// Number of requests that have no final answer yet and whose clients are still connected.
     pub fn requests_in_flight(&self) -> usize {
-        self.requests.borrow().incomplete().count()
+        self.requests.borrow().incomplete_ids().count()
     }
 
     // ---- Events and actions -------------------------------------------------------------------
 
     /// Passes an event to the policy and executes the actions that the policy returns. If another event is
-    /// being handled, this only enqueues the event.
+    /// being handled, this only enqueues the new event.
     pub fn dispatch(self: &Rc<Self>, event: Event) {
         self.enqueue(event);
         self.run_until_idle();
@@ -190,11 +192,12 @@
         self.events.borrow_mut().push_back(event);
     }
 
-    /// Handles events until the queues are empty.
+    /// Handles events and executes actions until no event and no action is queued.
     ///
-    /// A panic while an event is handled must not end the task that dispatched the event (a client connection
-    /// or the timers) and must not lose queued events. The panic is therefore caught and logged here: events
-    /// and actions not yet begun stay queued, and if the event was a new request, it is answered as failed.
+    /// A panic while an event is handled must not end the task that dispatched the event, such as the task of
+    /// a client connection or of the timers, and must not lose queued events. The panic is therefore caught
+    /// and logged here. Events and actions that have not begun stay queued. If the event was a new request,
+    /// the request is answered as failed.
     fn run_until_idle(self: &Rc<Self>) {
         if self.running.replace(true) {
             return;
@@ -242,7 +245,8 @@
             }
             Action::IncrementCounter { key, add, ttl } => self.increment_counter(key, add, ttl),
             Action::Timer { after, token } => self.timers.arm(self.now() + after, TimerKind::Policy(token)),
-            // Discovery pushes its changes to this gateway, and the policy requests no health checks.
+            // The discovery watcher reports changes of the endpoint list without being asked, and the policy
+            // requests no health checks.
             Action::WatchEndpoints | Action::HealthCheck(_) => {}
         }
     }
@@ -257,8 +261,8 @@
 
     // ---- Requests -----------------------------------------------------------------------------
 
-    /// Registers a request and passes it to the policy. Exactly one answer is sent on the returned channel,
-    /// unless the client disconnects first.
+    /// Registers a request and passes it to the policy. Returns the request's new id and the channel for its
+    /// answer. Exactly one answer is sent on the channel, unless the client disconnects first.
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let IncomingRequest { mut request, forwarded_request, client } = incoming;
         let deadline = self.now() + request.time_left;
@@ -275,46 +279,47 @@
         self.requests.borrow_mut().answer(id, answer);
     }
 
-    /// Handles the disconnect of a client, whose request no longer needs an answer.
+    /// Handles the disconnect of a request's client. Does nothing if the request has already been answered.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
         if let Some(responder) = responder {
-            // The responder is dropped before the policy handles the disconnect, so that the client's task is
-            // woken first and closes its connection.
+            // The responder is dropped before the policy handles the disconnect, so that the task of the
+            // client's connection is woken first and closes the connection.
             drop(responder);
             self.cancel_request(id);
         }
     }
 
-    /// Reports to the policy that the client of a request has disconnected, so that the policy does no
-    /// further work for the request.
+    /// Makes the policy stop its work on a request, by reporting that the client has disconnected. This is
+    /// also used for a request that was answered as timed out.
     fn cancel_request(self: &Rc<Self>, id: RequestId) {
         self.dispatch(Event::ClientDisconnected(id));
         self.requests.borrow_mut().remove_if_finished(id);
     }
 
-    /// Answers a request as timed out if it has no answer shortly before its deadline. This guards against a
-    /// policy that leaves a request unanswered: the client would wait until its deadline and get no response.
-    fn enforce_deadline(self: &Rc<Self>, id: RequestId) {
+    /// Answers a request as timed out if it has no answer yet. Called shortly before the request's deadline
+    /// and at the end of a shutdown. Without this, the client of a request that the policy leaves unanswered
+    /// would wait until its deadline and get no response.
+    fn time_out_request(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
         let Some(responder) = responder else { return };
-        // Sending fails if the client has just disconnected; it then needs no answer.
+        // Sending fails only if the client has just disconnected, and then no answer is needed.
         let _ = responder.send(Answer::TimedOut);
         self.cancel_request(id);
     }
 
     /// Answers all requests that have no answer yet as timed out, at the end of a shutdown.
     pub fn time_out_all_requests(self: &Rc<Self>) {
-        let incomplete: Vec<RequestId> = self.requests.borrow().incomplete().collect();
+        let incomplete: Vec<RequestId> = self.requests.borrow().incomplete_ids().collect();
         for id in incomplete {
-            self.enforce_deadline(id);
+            self.time_out_request(id);
         }
     }
 
     // ---- Servers ------------------------------------------------------------------------------
 
-    /// Applies a server list from discovery. Returns false if an invalid entry was ignored, since the change
-    /// that it describes is then unknown.
+    /// Applies an endpoint list from discovery. Returns false if an invalid entry was ignored, because the
+    /// change that the entry describes is then lost.
     pub fn endpoints_changed(self: &Rc<Self>, list: &EndpointList<'_>) -> bool {
         let update = if list.complete { EndpointUpdate::Complete } else { EndpointUpdate::Incremental };
         let all_decoded = self.update_endpoints(list, update);
@@ -351,7 +356,7 @@
                     self.finish_attempt(attempt, Outcome::TimedOut);
                 }
             }
-            TimerKind::Deadline(id) => self.enforce_deadline(id),
+            TimerKind::Deadline(id) => self.time_out_request(id),
             TimerKind::CounterCall(call) => self.counter_call_timed_out(call),
             TimerKind::ConnectionCheck => {
                 self.pool.drop_expired(self.now());
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -1,4 +1,5 @@
-//! How the event loop starts attempts, checks that they may start, and reports their ends to the policy.
+//! The part of the event loop that starts attempts, checks whether they may begin, and reports to the policy
+//! how they ended.
 
 use super::{Answer, EventLoop, RESPONSE_MARGIN};
 use crate::event::{Event, Outcome};
@@ -12,8 +13,8 @@
 use std::rc::Rc;
 
 impl EventLoop {
-    /// Starts an attempt. An attempt that cannot be made ends at once. An attempt without a timeout may last
-    /// until `RESPONSE_MARGIN` before the deadline of its request.
+    /// Starts an attempt. An attempt that cannot be made ends immediately. An attempt times out after
+    /// `timeout`, ms, but at the latest `RESPONSE_MARGIN` before the client's deadline.
     pub(super) fn start_attempt(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Option<Millis>) {
         let now = self.now();
         let mut requests = self.requests.borrow_mut();
@@ -27,8 +28,8 @@
                 elapsed: 0.0,
             });
         };
-        // The end of an attempt without a number cannot be reported to the policy; the request is answered at
-        // its deadline at the latest.
+        // If the attempt cannot be numbered, it is not started and no end of it can be reported to the
+        // policy. The request is then answered at its deadline at the latest.
         let Some(number) = request.start_attempt(server, now) else { return };
         let attempt = AttemptId { request: id, number };
         match self.prepare_attempt(request, attempt, server, timeout, now) {
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Checks that an attempt can be made, and returns its specification. The error is the outcome of an
-    /// attempt that cannot be made.
+    /// Checks that an attempt can be made, and returns its specification. If it cannot be made, returns the
+    /// outcome to report for the attempt.
     fn prepare_attempt(
         &self,
         request: &PendingRequest,
@@ -75,9 +76,12 @@
         })
     }
 
-    /// Checks whether an attempt may begin. This is called again just before the first byte of the attempt is
-    /// written: by then the server may have begun to drain or the client may have disconnected, and not every
-    /// deployment lets the policy cancel attempts.
+    /// Checks whether an attempt may begin. If the client has disconnected, this also reports the disconnect
+    /// to the policy.
+    ///
+    /// The check is made before a connection is obtained, and again just before the first byte of the attempt
+    /// is written. Between the two checks the server may have begun to drain or the client may have
+    /// disconnected, and not every deployment lets the policy cancel attempts.
     ///
     /// The check reads the state of the client's socket directly. On a busy machine hundreds of tasks may run
     /// before the task that reports the client's disconnect, and each of them may begin an attempt.
@@ -99,8 +103,8 @@
         }
     }
 
-    /// Handles the end of an attempt that its task reports. The report is ignored if the attempt has already
-    /// ended by its timeout or by cancellation.
+    /// Handles the end of an attempt as reported by the attempt's task. The report is ignored if the attempt
+    /// has already timed out or been cancelled.
     pub fn attempt_ended(self: &Rc<Self>, id: RequestId, number: u8, outcome: Outcome, body: Option<Bytes>) {
         let attempt = AttemptId { request: id, number };
         if !self.requests.borrow().is_in_flight(attempt) {
@@ -113,14 +117,15 @@
         self.finish_attempt(attempt, outcome);
     }
 
-    /// Ends an attempt because of a socket event or a timer, and lets the policy handle its end at once.
+    /// Ends an attempt because of a socket event or a timer, and makes the policy handle the end immediately.
     pub(super) fn finish_attempt(self: &Rc<Self>, attempt: AttemptId, outcome: Outcome) {
         self.end_attempt(attempt, outcome);
         self.run_until_idle();
         self.requests.borrow_mut().remove_if_finished(attempt.request);
     }
 
-    /// Ends an attempt and enqueues the event of its end for the policy.
+    /// Ends an attempt and enqueues an [`Event::AttemptEnded`] for the policy. Does nothing if the attempt
+    /// has already ended.
     pub(super) fn end_attempt(&self, attempt: AttemptId, outcome: Outcome) {
         let event = self.requests.borrow_mut().end_attempt(attempt, outcome, self.now());
         if let Some(event) = event {
--- a/src/net/logging.rs
+++ b/src/net/logging.rs
@@ -5,11 +5,11 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Maximum number of lines logged per second. Further lines are dropped, so that a recurring fault does not
-/// fill the disk.
+/// Maximum number of lines written per one-second window. Further lines are dropped, so that a recurring
+/// fault does not fill the disk.
 const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Counts the lines logged since the start of the current one-second window.
+/// Counts the lines, including dropped ones, since the start of the current one-second window.
 struct RateWindow {
     start: Instant,
     lines: u32,
@@ -20,7 +20,8 @@
         RateWindow { start: Instant::now(), lines: 0 }
     }
 
-    /// Counts a line and returns whether it may be written.
+    /// Counts a line, starting a new window if the last one has ended, and returns whether the line may be
+    /// written.
     fn admit_line(&mut self) -> bool {
         if self.start.elapsed() > Duration::from_secs(1) {
             *self = RateWindow::starting_now();
@@ -53,7 +54,8 @@
     fn flush(&self) {}
 }
 
-/// Installs the logger. A logger that was installed before stays in place.
+/// Installs the logger, which writes messages of level `Info` and above. Does nothing if the process already
+/// has a logger.
 pub fn init() {
     let logger = StderrLogger { window: Mutex::new(RateWindow::starting_now()) };
     if log::set_boxed_logger(Box::new(logger)).is_ok() {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! - [`event_loop`] passes events from the sockets to the policy and executes the policy's actions. It owns
 //!   the [`request_table`], the [`endpoint_registry`], the [`timer_queue`] and the [`clock`].
-//! - [`client`], [`upstream`], [`counter`] and [`discovery`] each hold the connections to one kind of peer,
-//!   and report to the event loop through an [`event_sink`].
+//! - [`client`], [`upstream`], [`counter`] and [`discovery`] each hold the connections to one kind of peer.
+//!   They report to the event loop, in part through an [`event_sink`]. [`socket`] has low-level socket
+//!   operations.
 //! - [`serve`] starts all of these modules. [`signals`], [`shutdown`], [`connection_limits`], [`logging`] and
 //!   [`supervisor`] handle the gateway process itself.
 
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -10,41 +10,42 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// The one final answer to a request.
+/// The final answer to a request. Each request gets at most one.
 #[derive(Debug)]
 pub enum Answer {
     /// A server's response body, unchanged.
     Served(Bytes),
-    /// The request was rejected; the client may safely retry it.
+    /// The request was rejected. The client may safely retry it.
     Rejected {
-        /// Time, ms, after which the client should retry; 0 if no time is given.
+        /// Time, ms, after which the client should retry; 0 means that the client is told no time.
         retry_after: Millis,
     },
-    /// The request failed; a server may have executed it.
+    /// The request failed. A server may have executed it.
     Failed,
-    /// The request was not answered by its deadline; a server may have executed it.
+    /// The request had no answer shortly before its deadline or at the end of a shutdown. A server may have
+    /// executed it.
     TimedOut,
 }
 
 /// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request.
+    /// ID of the request.
     pub request: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within its request, from 0.
     pub number: u8,
 }
 
-/// A request in the table. A request is complete when it has its final answer or its client has disconnected.
-/// A complete request stays in the table until its last attempt has ended.
+/// A request in the table. It is complete when it has its final answer or its client has disconnected. A
+/// complete request stays in the table until its last attempt has ended.
 pub struct PendingRequest {
     /// The channel for the final answer; `None` once the request is complete.
     responder: Option<oneshot::Sender<Answer>>,
     /// The request that is sent to a server.
     pub forwarded_request: Rc<ForwardedRequest>,
-    /// The client's connection.
+    /// The client's connection. The reference cannot be upgraded once the connection is closed.
     pub client: Weak<TcpStream>,
-    /// The time at which the client stops waiting; Unix time, ms.
+    /// The Unix time, ms, at which the client stops waiting.
     pub deadline: Millis,
     attempts: Vec<Attempt>,
 }
@@ -53,12 +54,13 @@
     server: ServerId,
     started: Millis,
     in_flight: bool,
-    /// The task that makes the attempt; `None` if the end of the attempt must not abort it.
+    /// The task that makes the attempt. `None` if no task has been started, or if the end of the attempt must
+    /// not abort the task.
     task: Option<AbortHandle>,
 }
 
 impl PendingRequest {
-    /// Creates a request without attempts, and returns the channel on which its final answer arrives.
+    /// Creates a request without attempts. Also returns the channel on which its final answer arrives.
     pub fn new(
         forwarded_request: ForwardedRequest,
         client: Weak<TcpStream>,
@@ -81,14 +83,15 @@
     }
 
     /// Records an attempt that starts at `now`, and returns its number. If the request already has 256
-    /// attempts, the most that can be numbered, the attempt is recorded as well, but `None` is returned.
+    /// attempts, the new attempt is still recorded, but `None` is returned because a `u8` cannot hold its
+    /// number.
     pub fn start_attempt(&mut self, server: ServerId, now: Millis) -> Option<u8> {
         let number = u8::try_from(self.attempts.len()).ok();
         self.attempts.push(Attempt { server, started: now, in_flight: true, task: None });
         number
     }
 
-    /// Stores the task that makes an attempt, so that the end of the attempt aborts the task.
+    /// Stores the task that makes an attempt, so that the task is aborted when the attempt ends.
     pub fn set_task(&mut self, attempt: u8, task: AbortHandle) {
         if let Some(attempt) = self.attempts.get_mut(usize::from(attempt)) {
             attempt.task = Some(task);
@@ -101,7 +104,7 @@
     }
 }
 
-/// The requests, by their ids.
+/// The requests that have no final answer yet or have attempts in flight, by their ids.
 #[derive(Default)]
 pub struct RequestTable {
     requests: HashMap<RequestId, PendingRequest>,
@@ -109,7 +112,7 @@
 }
 
 impl RequestTable {
-    /// Adds a request under an unused id, and returns that id. Ids wrap around.
+    /// Adds a request under the next unused id, and returns the id. After `u32::MAX` the ids continue at 0.
     pub fn insert(&mut self, request: PendingRequest) -> RequestId {
         while self.requests.contains_key(&RequestId(self.next_id)) {
             self.next_id = self.next_id.wrapping_add(1);
@@ -125,14 +128,14 @@
         self.requests.get_mut(&id)
     }
 
-    /// Returns the client's connection of a request that is not complete.
+    /// Returns the connection of a request's client, or `None` if the request is complete or unknown.
     pub fn waiting_client(&self, id: RequestId) -> Option<Weak<TcpStream>> {
         let request = self.requests.get(&id).filter(|request| !request.is_complete())?;
         Some(request.client.clone())
     }
 
     /// The ids of all requests that are not complete.
-    pub fn incomplete(&self) -> impl Iterator<Item = RequestId> + '_ {
+    pub fn incomplete_ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.iter().filter(|(_, request)| !request.is_complete()).map(|(id, _)| *id)
     }
 
@@ -147,7 +150,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Completes a request. Returns the channel for its answer, or `None` if it was already complete.
+    /// Marks a request as complete. Returns the channel for its answer, or `None` if the request was already
+    /// complete or is unknown.
     pub fn complete(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
         self.requests.get_mut(&id)?.responder.take()
     }
@@ -165,16 +169,17 @@
         attempts.and_then(|all| all.get(usize::from(id.number))).is_some_and(|attempt| attempt.in_flight)
     }
 
-    /// Forgets an attempt's task, so that the end of the attempt does not abort the task. This is used when
-    /// the task itself reports that end.
+    /// Drops the stored handle of an attempt's task, so that the end of the attempt does not abort the task.
+    /// This is used when the task itself reports the end of the attempt.
     pub fn detach_task(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempt_mut(id) {
             attempt.task = None;
         }
     }
 
-    /// Ends an attempt at `now` and aborts its task, which closes the attempt's connection. Returns the event
-    /// for the policy, or `None` if the attempt had ended already.
+    /// Ends an attempt at `now` and aborts its task, unless the task was detached. Aborting the task closes
+    /// the attempt's connection. Returns the event for the policy, or `None` if the attempt has already ended
+    /// or is unknown.
     pub fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, now: Millis) -> Option<Event> {
         let complete = self.requests.get(&id.request)?.is_complete();
         let attempt = self.attempt_mut(id).filter(|attempt| attempt.in_flight)?;
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -17,11 +17,11 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Time after startup at which the gateway becomes ready with its cached server list if discovery has sent
-/// none yet.
+/// Time after startup at which the gateway may become ready with its cached endpoint list, if discovery has
+/// not sent a list by then.
 const INITIAL_LIST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The reason why the gateway cannot start to serve.
+/// The reason why the gateway cannot start.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// A signal handler cannot be installed.
@@ -32,16 +32,16 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The error of the operating system.
+        /// The error that the operating system reported.
         source: io::Error,
     },
 }
 
-/// Serves until SIGTERM or SIGINT arrives and the graceful shutdown that it starts is complete. On SIGHUP the
+/// Serves clients until SIGTERM or SIGINT arrives, then shuts down gracefully and returns. On SIGHUP the
 /// gateway reads the configuration at `config_path` again. Must run in a [`LocalSet`](tokio::task::LocalSet).
 ///
 /// # Errors
-/// Returns an error if the gateway cannot start to serve.
+/// Returns an error if the gateway cannot start.
 pub async fn serve(config: Config, config_path: String) -> Result<(), ServeError> {
     // The handlers are installed before anything else: a signal without a handler would end the process.
     let mut signals = ControlSignals::install().map_err(ServeError::Signals)?;
@@ -58,7 +58,7 @@
     event_loop: Rc<EventLoop>,
     clients: Rc<ClientListener>,
     discovery: WatcherHandle<SocketAddr>,
-    /// The longest deadline of any request class, ms.
+    /// The longest deadline of any request class, ms; 0 if no class has a deadline.
     max_deadline: Millis,
 }
 
@@ -79,8 +79,8 @@
         Ok(RunningGateway { config_path, event_loop, clients, discovery, max_deadline })
     }
 
-    /// Reads the configuration file again and applies the addresses of discovery and the counter; all other
-    /// settings need a restart. A file that cannot be read or is invalid changes nothing.
+    /// Reads the configuration file again and applies the addresses of discovery and the counter service. All
+    /// other settings need a restart. If the file cannot be read or is invalid, nothing changes.
     fn reload(&mut self) {
         match Config::load(&self.config_path) {
             Ok(config) => {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Shuts down gracefully. Returns when all accepted requests are answered or the time for that has run
-    /// out.
+    /// Shuts down gracefully. Returns when all accepted requests are answered or the time for answering them
+    /// has run out.
     async fn shut_down(mut self, signals: &mut ControlSignals) {
         let start = Instant::now();
         let (event_loop, clients) = (self.event_loop.clone(), self.clients.clone());
@@ -134,8 +134,8 @@
     WatcherHandle::start(event_loop, config.discovery, known_revision, limits)
 }
 
-/// Makes the gateway ready with its cached server list if discovery sends no list within
-/// [`INITIAL_LIST_TIMEOUT`].
+/// Lets the gateway report itself ready after [`INITIAL_LIST_TIMEOUT`], even if discovery has not sent a
+/// list. The gateway is then ready only if its cached endpoint list has a server.
 fn become_ready_after_timeout(event_loop: Rc<EventLoop>) {
     tokio::task::spawn_local(async move {
         tokio::time::sleep(INITIAL_LIST_TIMEOUT).await;
@@ -143,9 +143,9 @@
     });
 }
 
-/// Starts the tasks that accept clients and close idle connections, and returns the address that the gateway
-/// listens on. The listener stays open for the life of the process, also during a shutdown: closing it would
-/// reset the connections that wait to be accepted, and their requests would be lost.
+/// Starts the tasks that accept client connections and close idle ones, and returns the address that the
+/// gateway listens on. The listener stays open for the life of the process, even during a shutdown: closing
+/// it would reset the connections that wait to be accepted, and their requests would be lost.
 fn start_listener(clients: &Rc<ClientListener>, address: SocketAddr) -> io::Result<SocketAddr> {
     let listener = Rc::new(listen(address)?);
     let address = listener.local_addr()?;
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -1,5 +1,5 @@
-//! Finishes the accepted requests during a graceful shutdown. Requests that are still unanswered when the
-//! time runs out are answered as timed out.
+//! Finishes the accepted requests during a graceful shutdown. Requests that have no answer when the time for
+//! the shutdown runs out are answered as timed out.
 
 use super::client::ClientListener;
 use super::event_loop::EventLoop;
@@ -7,33 +7,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time from the start of a shutdown before it closes connections that wait for a request: new connections
-/// may arrive for up to 0.4 s after the signal. Afterwards a new connection still gets the
-/// `NEW_CONNECTION_GRACE` of the client connections to send its first request.
+/// Time from the start of a shutdown until idle client connections are closed. New connections may arrive for
+/// up to 0.4 s after the signal. Even after this delay, a new connection has `NEW_CONNECTION_GRACE` (see the
+/// client module) to send its first request.
 const CLOSE_IDLE_DELAY: Duration = Duration::from_millis(450);
-/// Longest request deadline, ms, that a shutdown waits for.
+/// Upper bound, ms, of the request deadline that a shutdown waits for. A class may have a longer deadline.
 const MAX_REQUEST_WAIT: Millis = 3000.0;
-/// Time that is added to that deadline before unanswered requests are answered as timed out.
+/// Time that a shutdown waits beyond the request deadline, before it answers the unanswered requests as timed
+/// out.
 const REQUEST_WAIT_MARGIN: Duration = Duration::from_millis(550);
-/// Time that connections get at the end of a shutdown to write their last responses.
+/// Maximum time that a shutdown waits at its end for connections to write their last responses.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(60);
-/// Interval at which a shutdown checks whether connections are still open.
+/// Interval at which a shutdown checks whether client connections are still open.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Number of consecutive polls that must find no open connection before the gateway counts as idle: a
+/// Number of consecutive polls that must find no open client connection before the shutdown stops waiting. A
 /// connection that waits to be accepted at the first poll has been accepted by the second.
 const IDLE_POLLS: u32 = 2;
 
 /// The times at which the phases of a shutdown end.
 pub struct ShutdownSchedule {
-    /// The shutdown closes no idle connection before this time.
+    /// Idle connections are closed from this time on.
     close_idle_at: Instant,
-    /// Requests that have no answer at this time are answered as timed out.
+    /// Requests that still have no answer at this time are answered as timed out.
     time_out_requests_at: Instant,
 }
 
 impl ShutdownSchedule {
-    /// Creates the schedule of a shutdown that begins at `start`. The longest deadline of a request class is
-    /// `max_deadline`, ms.
+    /// Creates the schedule of a shutdown that begins at `start`. `max_deadline`, ms, is the longest deadline
+    /// of any request class.
     pub fn new(start: Instant, max_deadline: Millis) -> Self {
         let request_wait = Duration::from_secs_f64(max_deadline.min(MAX_REQUEST_WAIT) / 1000.0);
         ShutdownSchedule {
@@ -43,9 +44,9 @@
     }
 }
 
-/// Waits until all requests are answered and all connections are closed. At the end of the schedule requests
-/// without an answer are answered as timed out, later requests are rejected with status 503, and connections
-/// get `FLUSH_TIMEOUT` to write their last responses.
+/// Waits until all requests are answered and all client connections are closed, or until the schedule ends.
+/// Then rejects later requests with status 503, answers the remaining requests as timed out, and waits up to
+/// `FLUSH_TIMEOUT` for the connections to write their last responses.
 pub async fn finish_requests(
     event_loop: &Rc<EventLoop>,
     clients: &ClientListener,
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -3,7 +3,7 @@
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The operation that a signal requests.
+/// The operation that a signal asks the gateway process for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlSignal {
     /// SIGHUP: read the configuration again.
@@ -20,10 +20,10 @@
 }
 
 impl ControlSignals {
-    /// Installs the handlers.
+    /// Installs the handlers. From then on, the signals no longer end the process.
     ///
     /// # Errors
-    /// Returns an error if the operating system refuses a handler.
+    /// Returns an error if the operating system does not allow a handler to be installed.
     pub fn install() -> io::Result<Self> {
         Ok(ControlSignals {
             hangup: signal(SignalKind::hangup())?,
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Waits for the next signal. Dropping the returned future before it is ready loses no signal.
+    /// Waits for the next signal. No signal is lost if the returned future is dropped before it is ready.
     pub async fn next(&mut self) -> ControlSignal {
         tokio::select! {
             _ = self.terminate.recv() => ControlSignal::Shutdown,
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -9,10 +9,10 @@
 /// Maximum number of connections that may wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// Listens on an address, even if a previous process has left connections in TIME_WAIT on it.
+/// Opens a listener on an address, even if connections of a previous process are still in TIME_WAIT there.
 ///
 /// # Errors
-/// Returns an error if the operating system refuses the address.
+/// Returns an error if the operating system does not allow the process to listen on the address.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -23,10 +23,10 @@
 /// Whether the peer has closed the connection, closed its sending side or reset the connection, even if
 /// unread bytes remain.
 ///
-/// This polls the kernel, since the runtime may not have processed the event yet.
+/// The function polls the kernel, because the runtime may not have noticed yet that the connection is closed.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
-    // The kernel reports a reset even if it is not among the requested events. If the poll fails, the peer
-    // counts as connected, and the runtime reports the end of the connection later.
+    // The kernel reports a reset even if it is not among the requested events. If the poll fails, the result
+    // is false, and the runtime reports the end of the connection later.
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
     matches!(poll(&mut polled, Some(&Timespec::default())), Ok(1..))
 }
--- a/src/net/timer_queue.rs
+++ b/src/net/timer_queue.rs
@@ -8,19 +8,19 @@
 use std::collections::BinaryHeap;
 use tokio::sync::Notify;
 
-/// The action to take when a timer fires. Timers that are due in the same microsecond fire in the order of
-/// these variants.
+/// The purpose of a timer, which determines what happens when it fires. Timers that are due in the same
+/// microsecond fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
-    /// A timer that the policy requested; the token is passed back to the policy.
+    /// Requested by the policy. The token is passed back to the policy when the timer fires.
     Policy(u64),
     /// The timeout of an attempt.
     Attempt(AttemptId),
-    /// The deadline of a request.
+    /// The time, shortly before a request's deadline, at which the request is answered as timed out.
     Deadline(RequestId),
     /// The timeout of a call to the counter service, identified by the call's id.
     CounterCall(u64),
-    /// The periodic check of the connections to servers and to the counter.
+    /// The periodic check of the connections to servers and to the counter service.
     ConnectionCheck,
 }
 
@@ -41,16 +41,17 @@
     kind: TimerKind,
 }
 
-/// The armed timers. A timer cannot be disarmed: the code that handles it checks whether it still applies.
+/// The armed timers. A timer cannot be disarmed, so the code that handles a fired timer has to check whether
+/// the timer still applies.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: RefCell<BinaryHeap<Reverse<Timer>>>,
-    /// Wakes [`next`](TimerQueue::next) when a timer is armed that is due before all others.
+    /// Wakes [`next`](TimerQueue::next) when the newly armed timer is due before all others.
     earlier_timer: Notify,
 }
 
 impl TimerQueue {
-    /// Arms a timer for Unix time `at`, ms.
+    /// Arms a timer that fires at the Unix time `at`, ms.
     pub fn arm(&self, at: Millis, kind: TimerKind) {
         let due = to_micros(at);
         if self.next_due().is_none_or(|next| due < next) {
--- a/tests/unit/request_table.rs
+++ b/tests/unit/request_table.rs
@@ -30,7 +30,7 @@
     table.answer(id, Answer::Failed);
     table.answer(id, Answer::TimedOut);
     assert!(matches!(answer.try_recv(), Ok(Answer::Failed)));
-    assert_eq!(table.incomplete().count(), 0);
+    assert_eq!(table.incomplete_ids().count(), 0);
     assert!(table.get_mut(id).is_some(), "the request was removed while its attempt was in flight");
     assert!(table.end_attempt(attempt, Outcome::Cancelled, 15.0).is_some());
     assert!(table.get_mut(id).is_none(), "the request stayed after its last attempt ended");
