--- a/src/policy/candidate_set.rs
+++ b/src/policy/candidate_set.rs
@@ -8,12 +8,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
     pub(super) position: EndpointPosition,
-    /// Index of the server in the gateway's whole order, which includes servers that are not candidates.
+    /// Index, from 0, of the server in the gateway's order of all servers, candidates or not.
     pub(super) rank: usize,
 }
 
-/// The candidates of one block.
+/// The candidates that are in one block of the index.
 struct BlockCandidates {
+    /// Index of the block.
     block: usize,
     /// Bit mask of the slots of the candidates.
     members: u64,
@@ -21,10 +22,11 @@
     first_rank: usize,
 }
 
-/// The candidates of one selection. The allocation is reused for the next selection.
+/// The candidates of one selection. The next selection resets the set and so reuses its allocation.
 #[derive(Default)]
 pub(super) struct CandidateSet {
     max_size: usize,
+    /// Number of candidates in the set.
     len: usize,
     servers_scanned: usize,
     blocks: Vec<BlockCandidates>,
@@ -44,7 +46,7 @@
     }
 
     /// How many more servers fit into the set.
-    pub(super) fn remaining(&self) -> usize {
+    pub(super) fn remaining_capacity(&self) -> usize {
         self.max_size - self.len
     }
 
@@ -54,18 +56,22 @@
         self.servers_scanned
     }
 
-    /// Adds the `members` of a block of `block_len` servers. If not all of them fit, adds the first ones.
+    /// Adds the `members` of a block that holds `block_len` servers. If not all members fit into the set,
+    /// adds as many as fit, from the lowest slot up.
     pub(super) fn add(&mut self, block: usize, mut members: u64, block_len: usize) {
-        if members.count_ones() as usize > self.remaining() {
-            let first_excluded = bit_indices(members).nth(self.remaining());
+        if members.count_ones() as usize > self.remaining_capacity() {
+            let first_excluded = bit_indices(members).nth(self.remaining_capacity());
             members = first_excluded.map_or(members, |slot| members & bits_below(slot));
         }
         if members != 0 {
             self.blocks.push(BlockCandidates { block, members, first_rank: self.servers_scanned });
         }
         self.len += members.count_ones() as usize;
-        self.servers_scanned +=
-            if self.remaining() > 0 { block_len } else { BLOCK_CAPACITY - members.leading_zeros() as usize };
+        self.servers_scanned += if self.remaining_capacity() > 0 {
+            block_len
+        } else {
+            BLOCK_CAPACITY - members.leading_zeros() as usize
+        };
     }
 
     /// All candidates, in the gateway's order.
@@ -73,7 +79,7 @@
         self.blocks.iter().flat_map(|block| bit_indices(block.members).map(|slot| block.candidate(slot)))
     }
 
-    /// The candidate at `index`, counted from 0.
+    /// The candidate at `index`, counted from 0; `None` if the set has fewer candidates.
     pub(super) fn nth(&self, mut index: usize) -> Option<Candidate> {
         for block in &self.blocks {
             let size = block.members.count_ones() as usize;
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -4,34 +4,37 @@
 
 use crate::ids::Millis;
 
-/// Initial limit: attempts in flight to each server, summed over all gateways. For a gateway that uses a
-/// subset of the servers, this is also the upper bound of the limit.
+/// Initial limit: attempts in flight to each server, summed over all gateways. While a gateway uses a subset
+/// of the servers, its limit does not increase above this value.
 const INITIAL_ATTEMPTS_PER_SERVER: f64 = 8.0;
 /// Lower bound of the limit: attempts in flight to each server, summed over all gateways.
 const MIN_ATTEMPTS_PER_SERVER: f64 = 2.0;
-/// Lower bound of the limit of a gateway that uses all servers, in attempts.
+/// Further lower bound of the limit of a gateway that uses all servers, in attempts of this gateway.
 const MIN_LIMIT: f64 = 2.0;
 /// Mean response time, as a share of the latency objective, above which the limit decreases.
 const DECREASE_LATENCY_RATIO: f64 = 0.27;
 /// Upper bound of one sample of the response time, as a multiple of the latency objective.
 const MAX_LATENCY_RATIO: f64 = 2.0;
-/// Share of the limit that must be in use before the limit increases.
+/// Share of the limit that must be in use before the limit increases. A gateway that uses a subset of the
+/// servers includes the attempt that has just ended.
 const INCREASE_UTILIZATION: f64 = 0.6;
 /// Hedged requests may be sent while less than this share of the limit is in use.
 const HEDGE_UTILIZATION: f64 = 0.8;
 
-/// How strongly one response time changes the state of the limit.
+/// How strongly one response time changes the mean latency ratio and the limit.
 struct Gains {
-    /// Gain of a sample in the mean latency ratio.
-    latency_ratio: f64,
-    /// Share of the limit by which it decreases, and on a subset of the servers also increases.
+    /// Weight of a sample in the mean latency ratio.
+    latency_ratio_gain: f64,
+    /// Share of the limit by which one step decreases the limit. A gateway that uses a subset of the servers
+    /// also increases its limit by this share.
     limit_step: f64,
 }
 
 /// Gains of a gateway that uses all servers.
-const DEFAULT_GAINS: Gains = Gains { latency_ratio: 0.03, limit_step: 0.01 };
-/// Gains of a gateway that uses a subset of the servers. They are larger because it gets fewer samples.
-const SUBSET_GAINS: Gains = Gains { latency_ratio: 0.1, limit_step: 0.05 };
+const DEFAULT_GAINS: Gains = Gains { latency_ratio_gain: 0.03, limit_step: 0.01 };
+/// Gains of a gateway that uses a subset of the servers. They are larger because such a gateway gets
+/// fewer samples.
+const SUBSET_GAINS: Gains = Gains { latency_ratio_gain: 0.1, limit_step: 0.05 };
 
 /// The concurrency limit of this gateway and the state that controls it.
 #[derive(Default)]
@@ -39,8 +42,8 @@
     /// `None` until the first endpoint list that contains a server.
     limit: Option<f64>,
     /// Attempts of this gateway in flight.
-    in_flight: f64,
-    /// Mean response time as a share of the latency objective.
+    attempts_in_flight: f64,
+    /// Mean response time as a share of the latency objective; 0 before the first sample.
     latency_ratio: f64,
     /// No attempt starts before this time. Such pauses enforce a limit below one attempt.
     paused_until: Option<Millis>,
@@ -62,26 +65,27 @@
 
     /// Whether one more attempt may start now.
     pub(super) fn has_capacity(&self, now: Millis) -> bool {
-        self.in_flight < self.limit().max(1.0) && self.paused_until.is_none_or(|until| now >= until)
+        self.attempts_in_flight < self.limit().max(1.0) && self.paused_until.is_none_or(|until| now >= until)
     }
 
     pub(super) fn is_exhausted(&self) -> bool {
-        self.in_flight >= self.limit()
+        self.attempts_in_flight >= self.limit()
     }
 
     pub(super) fn has_room_for_hedging(&self) -> bool {
-        self.in_flight < HEDGE_UTILIZATION * self.limit()
+        self.attempts_in_flight < HEDGE_UTILIZATION * self.limit()
     }
 
     pub(super) fn attempt_started(&mut self) {
-        self.in_flight += 1.0;
+        self.attempts_in_flight += 1.0;
     }
 
     pub(super) fn attempt_ended(&mut self) {
-        self.in_flight = (self.in_flight - 1.0).max(0.0);
+        self.attempts_in_flight = (self.attempts_in_flight - 1.0).max(0.0);
     }
 
-    /// Adjusts the limit after an attempt has ended with the response time `latency`, ms.
+    /// Adjusts the limit after an attempt that was answered or timed out. `latency` is the duration of the
+    /// attempt and `objective` the latency objective of its class, both in ms.
     pub(super) fn record_latency(
         &mut self,
         now: Millis,
@@ -92,7 +96,7 @@
     ) {
         let gains = if subset_active { SUBSET_GAINS } else { DEFAULT_GAINS };
         let ratio = (latency / objective.max(1.0)).min(MAX_LATENCY_RATIO);
-        self.latency_ratio += gains.latency_ratio * (ratio - self.latency_ratio);
+        self.latency_ratio += gains.latency_ratio_gain * (ratio - self.latency_ratio);
         let limit = self.limit();
         let limit = if self.latency_ratio > DECREASE_LATENCY_RATIO {
             decrease(limit, gains.limit_step, servers_per_gateway, subset_active)
@@ -106,9 +110,9 @@
 
     fn increase(&self, limit: f64, limit_step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
         let busy_threshold = INCREASE_UTILIZATION * limit;
-        if subset_active && self.in_flight + 1.0 > busy_threshold {
+        if subset_active && self.attempts_in_flight + 1.0 > busy_threshold {
             (limit * (1.0 + limit_step)).min(INITIAL_ATTEMPTS_PER_SERVER * servers_per_gateway)
-        } else if self.in_flight > busy_threshold {
+        } else if self.attempts_in_flight > busy_threshold {
             limit + 1.0 / limit.max(1.0)
         } else {
             limit
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -58,13 +58,13 @@
         }
         let backoff_factor = self.counter_health.backoff_factor();
         let Some(tenant) = self.tenants.get_mut(&tenant_id).filter(|tenant| tenant.has_quota()) else {
-            self.unsynced.remove(&tenant_id);
+            self.unsynced_tenants.remove(&tenant_id);
             return;
         };
         match &mut tenant.usage {
             Usage::Batched(usage) => match usage.sync(now, tenant_id, backoff_factor) {
                 SyncStatus::NotDue => {}
-                SyncStatus::Idle => _ = self.unsynced.remove(&tenant_id),
+                SyncStatus::Idle => _ = self.unsynced_tenants.remove(&tenant_id),
                 SyncStatus::Calls(calls) => {
                     for call in calls {
                         let owner = KeyOwner { tenant: tenant_id, disposition: call.disposition };
@@ -74,7 +74,7 @@
             },
             Usage::LowTraffic(usage) => {
                 let Some((key, add)) = usage.begin_flush(now, tenant_id, backoff_factor) else { return };
-                self.unsynced.remove(&tenant_id);
+                self.unsynced_tenants.remove(&tenant_id);
                 if add > 0.0 {
                     self.call_counter_for_low_traffic(tenant_id, key, add, None);
                 }
@@ -146,7 +146,7 @@
         match &mut tenant.usage {
             Usage::LowTraffic(_) => self.low_traffic_call_ended(now, owner, key, total),
             Usage::Batched(_) => {
-                self.unsynced.insert(owner.tenant);
+                self.unsynced_tenants.insert(owner.tenant);
                 tenant.advance_to(now);
                 if let Usage::Batched(usage) = &mut tenant.usage {
                     let may_have_arrived = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
--- a/src/policy/endpoint_block.rs
+++ b/src/policy/endpoint_block.rs
@@ -4,41 +4,42 @@
 
 /// Maximum number of servers in a block: the number of bits in a mask.
 pub(super) const BLOCK_CAPACITY: usize = u64::BITS as usize;
-/// Number of servers that a full block keeps when it is split. Two neighbouring blocks are merged when they
-/// hold no more than this together.
-pub(super) const MERGE_SIZE: usize = BLOCK_CAPACITY / 2;
+/// Number of servers that a full block keeps when it is split. When a server is removed from a block, the
+/// block is merged with the next one if both together hold at most this many servers.
+pub(super) const HALF_CAPACITY: usize = BLOCK_CAPACITY / 2;
 
-/// A zone or a cell, as a property that servers share.
+/// The zone or the cell that a server is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Locality {
-    /// The servers are in this zone.
+    /// Number of the zone, as in the endpoint list.
     Zone(u16),
-    /// The servers are in this cell.
+    /// Number of the cell, as in the endpoint list.
     Cell(u16),
 }
 
-/// The servers of a block that are in one locality.
+/// A locality and the mask of the block's servers that are in it.
 #[derive(Clone)]
 pub(super) struct LocalityMask {
     pub(super) locality: Locality,
-    /// Bit mask of the servers' slots.
+    /// Bit mask: bit `i` is set if the server at slot `i` is in the locality.
     pub(super) members: u64,
 }
 
-/// A server of a block and what the index stores with it.
+/// One entry of a block: a server and the data that the index keeps about it.
 #[derive(Default)]
 pub(super) struct Slot {
     pub(super) tracked_endpoint: TrackedEndpoint,
     /// Sort key of the server in the gateway's own order.
     pub(super) key: u64,
     pub(super) health: HealthState,
-    /// The next time at which the health may change without an event, as the bits of that time.
+    /// Bits of the `f64` time at which the health may next change without an event. `None` means that the
+    /// health changes only with an event.
     pub(super) next_transition: Option<u64>,
-    /// Generation of the complete list that was current when an update last listed the server.
+    /// List generation of the index when an update of the endpoint list last contained the server.
     pub(super) list_generation: u32,
 }
 
-/// Consecutive servers of the gateway's order. Bit `i` of each mask belongs to the server at slot `i`.
+/// Consecutive servers in the gateway's order. Bit `i` of each mask belongs to the server at slot `i`.
 #[derive(Default)]
 pub(super) struct Block {
     /// Sort key of the first server.
@@ -55,7 +56,7 @@
 }
 
 impl Block {
-    /// All masks of the block.
+    /// All masks of the block. [`Block::update_health_bits`] relies on the order of the first three.
     fn masks(&mut self) -> impl Iterator<Item = &mut u64> {
         let localities = self.localities.iter_mut().map(|locality| &mut locality.members);
         [&mut self.available, &mut self.unhealthy_reachable, &mut self.slow_starting]
@@ -104,17 +105,18 @@
     pub(super) fn update_health_bits(&mut self, slot: usize) {
         let health = self.slots[slot].health;
         let accepts_requests = health.ready && !health.paused;
-        let bits = [
+        let health_bits = [
             accepts_requests && health.healthy,
             accepts_requests && !health.healthy && health.reachable,
             !health.warm,
         ];
-        for (mask, bit) in self.masks().zip(bits) {
+        for (mask, bit) in self.masks().zip(health_bits) {
             *mask = *mask & !(1 << slot) | u64::from(bit) << slot;
         }
     }
 
-    /// Inserts a server at `slot`. The servers at `slot` and above move up by one slot.
+    /// Inserts a server at `slot`; the servers at `slot` and above move up by one slot. The new server's
+    /// locality bits stay unset until [`Block::update_localities`] is called.
     pub(super) fn insert(&mut self, slot: usize, new_slot: Slot) {
         for mask in self.masks() {
             *mask = *mask & bits_below(slot) | (*mask & !bits_below(slot)) << 1;
@@ -136,14 +138,14 @@
         }
     }
 
-    /// Moves the servers at slot [`MERGE_SIZE`] and above into a new block and returns that block.
+    /// Moves the servers at slot [`HALF_CAPACITY`] and above into a new block and returns that block.
     pub(super) fn split_off(&mut self) -> Block {
-        let slots = self.slots.split_off(MERGE_SIZE);
+        let slots = self.slots.split_off(HALF_CAPACITY);
         let mut upper =
             Block { first_key: slots[0].key, localities: self.localities.clone(), slots, ..Block::default() };
         for (low, high) in self.masks().zip(upper.masks()) {
-            *high = *low >> MERGE_SIZE;
-            *low &= bits_below(MERGE_SIZE);
+            *high = *low >> HALF_CAPACITY;
+            *low &= bits_below(HALF_CAPACITY);
         }
         self.drop_empty_localities();
         upper.drop_empty_localities();
@@ -163,12 +165,12 @@
     }
 }
 
-/// A mask of the bits below the bit at `index`.
+/// A mask of the bits below the bit at `index`. All bits are set if `index` is 64 or more.
 pub(super) fn bits_below(index: usize) -> u64 {
     1u64.checked_shl(index as u32).map_or(u64::MAX, |bit| bit - 1)
 }
 
-/// The indices of the bits that are set, from the lowest to the highest.
+/// The indices of the bits that are set in `bits`, from the lowest to the highest.
 pub(super) fn bit_indices(mut bits: u64) -> impl Iterator<Item = usize> {
     std::iter::from_fn(move || {
         let index = (bits != 0).then(|| bits.trailing_zeros() as usize)?;
--- a/src/policy/endpoint_health.rs
+++ b/src/policy/endpoint_health.rs
@@ -1,52 +1,58 @@
-//! Outlier ejection, and what this gateway's attempts show about the health and response time of one server.
+//! Estimates the health and the mean response time of one server from the outcomes of this gateway's
+//! attempts, and ejects the server as an outlier after repeated failures.
 
 use super::mean_latency::MeanLatency;
 use super::slow_start::{SlowStart, SlowStartTokens};
 use crate::event::{Endpoint, EndpointState, Outcome};
 use crate::ids::Millis;
 
-/// Weight of a new response time in a server's moving average, which thus covers about the last ten.
+/// Weight of a new response time in a server's moving average. With this weight, the average depends mostly
+/// on the last ten response times.
 const LATENCY_GAIN: f64 = 0.1;
-/// Weight of an attempt that timed out or was cancelled, if samples are rare: such an attempt may be the only
-/// sign that the server has become slow.
+/// Weight of a response time in a server's moving average if the attempt timed out or was cancelled and the
+/// gateway uses a subset of the servers. Samples are rare then, and such an attempt may be the only sign that
+/// the server has become slow.
 const UNANSWERED_LATENCY_GAIN: f64 = 0.4;
-/// Number of consecutive failures after which a server is ejected.
+/// Number of consecutive failures after which a server is ejected. While the gateway uses a subset of the
+/// servers, a single failure that is not a timeout is enough.
 const FAILURES_TO_EJECT: u32 = 3;
-/// Duration of a server's first ejection, in ms. Each further ejection lasts twice as long as the one before,
-/// until the server succeeds again.
+/// Duration of a server's first ejection, in ms. Until an attempt to the server succeeds, each further
+/// ejection lasts twice as long as the one before, up to [`MAX_EJECTION_DOUBLINGS`] doublings.
 const BASE_EJECTION_TIME: Millis = 1000.0;
 /// Maximum number of times that the duration of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Factor on the duration of an ejection if samples are rare. A server then gets a request of this gateway
-/// only every few seconds, and an ejection has to last longer than the time between two requests.
+/// Factor on the duration of an ejection while the gateway uses a subset of the servers. A server then gets a
+/// request of this gateway only every few seconds, and an ejection has to last longer than the time between
+/// two requests.
 const SUBSET_EJECTION_FACTOR: f64 = 3.0;
 /// Time for which a server that rejected a request for lack of capacity gets no further requests, in ms.
 const REJECTION_PAUSE: Millis = 100.0;
-/// Factor on [`REJECTION_PAUSE`] if samples are rare, as a server then gets a request only every few seconds.
+/// Factor on [`REJECTION_PAUSE`] while the gateway uses a subset of the servers, because a server then gets a
+/// request of this gateway only every few seconds.
 const SUBSET_PAUSE_FACTOR: f64 = 20.0;
 
-/// Health of a server at a point in time, as the index uses it.
+/// Health of a server at a point in time. The index derives its masks and counts from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct HealthState {
-    /// The endpoint list says that the server takes requests.
+    /// The endpoint list says that the server accepts new requests.
     pub(super) ready: bool,
-    /// The server gets no requests because it has just rejected one for lack of capacity.
+    /// The server gets no requests for a short time because it rejected a request for lack of capacity.
     pub(super) paused: bool,
-    /// The server is not ejected and, unless it has succeeded since its last ejection, has no attempt of this
-    /// gateway in flight.
+    /// False while the server is ejected. After an ejection, also false while this gateway has an attempt to
+    /// the server in flight, until an attempt succeeds.
     pub(super) healthy: bool,
-    /// The server's last failure was neither a failed connect nor a reset, or it has succeeded since.
+    /// False if the last failure was a failed connect or a reset and no attempt has succeeded since.
     pub(super) reachable: bool,
     /// The server's slow start is over.
     pub(super) warm: bool,
 }
 
-/// A server of the endpoint list and what this gateway has recorded about it.
+/// The list entry of a server and what this gateway has recorded about the server.
 #[derive(Default)]
 pub(super) struct TrackedEndpoint {
     pub(super) endpoint: Endpoint,
     /// Number of this gateway's attempts in flight to the server.
-    in_flight: f64,
+    attempts_in_flight: f64,
     mean_latency: MeanLatency,
     /// When the mean latency last changed. `None` until the first list entry is applied.
     last_sample_at: Option<Millis>,
@@ -61,13 +67,14 @@
 }
 
 impl TrackedEndpoint {
-    /// Applies the server's list entry. A new or restarted server starts with `overall_latency` as its mean
-    /// and without the earlier records, except for the attempts to the old process that are still in flight.
+    /// Applies the server's list entry. If the server is new or has restarted, its records are reset and its
+    /// mean response time starts at `overall_latency`. Only the number of attempts in flight is kept, because
+    /// attempts to the old process may not have ended yet.
     pub(super) fn update(&mut self, now: Millis, endpoint: Endpoint, overall_latency: MeanLatency) {
         let restarted = self.endpoint.started != endpoint.started;
         if self.last_sample_at.is_none() || restarted {
             *self = TrackedEndpoint {
-                in_flight: self.in_flight,
+                attempts_in_flight: self.attempts_in_flight,
                 mean_latency: overall_latency,
                 last_sample_at: Some(now),
                 slow_start_tokens: SlowStartTokens::empty_at(endpoint.started),
@@ -77,11 +84,11 @@
         self.endpoint = endpoint;
     }
 
-    pub(super) fn in_flight(&self) -> f64 {
-        self.in_flight
+    pub(super) fn attempts_in_flight(&self) -> f64 {
+        self.attempts_in_flight
     }
 
-    /// Mean response time of the server, in ms, if there is one.
+    /// Mean response time of the server, in ms; `None` if there is no mean yet.
     pub(super) fn mean_latency(&self) -> Option<Millis> {
         self.mean_latency.get()
     }
@@ -92,25 +99,25 @@
     }
 
     pub(super) fn attempt_started(&mut self) {
-        self.in_flight += 1.0;
+        self.attempts_in_flight += 1.0;
         self.slow_start_tokens.spend();
     }
 
-    /// Updates the records with the result of an attempt. `samples_are_rare` says that this gateway sends the
-    /// server a request only every few seconds.
+    /// Updates the records with the outcome of an attempt that took `elapsed` ms. `subset_active` says that
+    /// this gateway uses a subset of the servers and sends each of them a request only every few seconds.
     pub(super) fn record_outcome(
         &mut self,
         now: Millis,
         outcome: Outcome,
         elapsed: Millis,
-        samples_are_rare: bool,
+        subset_active: bool,
     ) {
-        self.in_flight = (self.in_flight - 1.0).max(0.0);
+        self.attempts_in_flight = (self.attempts_in_flight - 1.0).max(0.0);
         match outcome {
             Outcome::NotSent => return,
             Outcome::Cancelled => {}
             Outcome::Rejected => {
-                let factor = if samples_are_rare { SUBSET_PAUSE_FACTOR } else { 1.0 };
+                let factor = if subset_active { SUBSET_PAUSE_FACTOR } else { 1.0 };
                 self.paused_until = Some(now + REJECTION_PAUSE * factor);
             }
             Outcome::Ok => {
@@ -119,50 +126,52 @@
                 self.unreachable = false;
             }
             Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
-                self.record_failure(now, outcome, samples_are_rare);
+                self.record_failure(now, outcome, subset_active);
             }
         }
-        self.record_latency(now, outcome, elapsed, samples_are_rare);
+        self.record_latency(now, outcome, elapsed, subset_active);
     }
 
     /// Counts a failure and ejects the server after enough consecutive failures. A server that fails quickly
-    /// looks fast, so if samples are rare, its first failure that is not a timeout ejects it.
-    fn record_failure(&mut self, now: Millis, outcome: Outcome, samples_are_rare: bool) {
+    /// appears to be fast. While the gateway uses a subset of the servers, the first failure that is not a
+    /// timeout therefore ejects the server.
+    fn record_failure(&mut self, now: Millis, outcome: Outcome, subset_active: bool) {
         self.unreachable = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
         let fails_fast = outcome != Outcome::TimedOut;
-        self.consecutive_failures += if samples_are_rare && fails_fast { FAILURES_TO_EJECT } else { 1 };
+        self.consecutive_failures += if subset_active && fails_fast { FAILURES_TO_EJECT } else { 1 };
         if self.consecutive_failures >= FAILURES_TO_EJECT {
-            let base = BASE_EJECTION_TIME * if samples_are_rare { SUBSET_EJECTION_FACTOR } else { 1.0 };
+            let base = BASE_EJECTION_TIME * if subset_active { SUBSET_EJECTION_FACTOR } else { 1.0 };
             let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
             self.ejected_until = Some(now + base * f64::from(1 << doublings));
             self.ejections += 1;
         }
     }
 
-    /// Adds the duration of an attempt to the mean. A cancelled attempt would have taken at least `elapsed`,
-    /// so it counts if `elapsed` is above the mean. An attempt that failed early shows nothing about the
-    /// server's response time.
-    fn record_latency(&mut self, now: Millis, outcome: Outcome, elapsed: Millis, samples_are_rare: bool) {
+    /// Adds the duration of an attempt to the mean if the attempt succeeded, timed out, or was cancelled
+    /// after more than the mean. A cancelled attempt would have taken at least `elapsed`. An attempt that was
+    /// rejected or failed in another way shows nothing about the server's response time.
+    fn record_latency(&mut self, now: Millis, outcome: Outcome, elapsed: Millis, subset_active: bool) {
         let slow_when_cancelled =
             outcome == Outcome::Cancelled && elapsed > self.mean_latency.get().unwrap_or(0.0);
         if !slow_when_cancelled && !matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
             return;
         }
         let is_unanswered = outcome != Outcome::Ok;
-        let gain = if is_unanswered && samples_are_rare { UNANSWERED_LATENCY_GAIN } else { LATENCY_GAIN };
+        let gain = if is_unanswered && subset_active { UNANSWERED_LATENCY_GAIN } else { LATENCY_GAIN };
         self.mean_latency.record(elapsed, gain);
         self.last_sample_at = Some(now);
     }
 
-    /// The server's health now, and the next time at which it may change without an event.
+    /// The server's health at `now`, and the next time at which that health may change without an event.
     pub(super) fn health(&self, now: Millis, slow_start: &SlowStart) -> (HealthState, Option<Millis>) {
         let paused_until = self.paused_until.filter(|until| *until > now);
         let ejected_until = self.ejected_until.filter(|until| *until > now);
         let started = self.endpoint.started;
         let warm_at = (!slow_start.is_warm(now, started)).then(|| slow_start.warm_at(started));
-        // After an ejection, the server stays unhealthy while attempts are in flight, because only their
-        // outcomes show whether it has recovered.
-        let may_have_recovered = self.consecutive_failures < FAILURES_TO_EJECT || self.in_flight < 1.0;
+        // After an ejection and until an attempt succeeds, the server is unhealthy while an attempt is in
+        // flight, because only the outcome of that attempt shows whether the server has recovered.
+        let may_have_recovered =
+            self.consecutive_failures < FAILURES_TO_EJECT || self.attempts_in_flight < 1.0;
         let state = HealthState {
             ready: self.endpoint.state == EndpointState::Ready,
             paused: paused_until.is_some(),
--- a/src/policy/endpoint_index.rs
+++ b/src/policy/endpoint_index.rs
@@ -1,8 +1,9 @@
-//! Index of the listed servers in the gateway's own order. The index keeps counts, and its blocks keep bit
-//! masks, which every change updates, so that a search can skip up to 64 servers at a time. It contains no
-//! health rules: the caller sets each server's health and the next time at which that health may change.
+//! Index of the listed servers in the gateway's own order. Every change updates the counts of the index and
+//! the bit masks of its blocks, so that a search can skip up to 64 servers at a time. The index does not
+//! decide which servers are healthy: the caller sets each server's health and the next time at which that
+//! health may change.
 
-use super::endpoint_block::{Block, Slot, BLOCK_CAPACITY, MERGE_SIZE};
+use super::endpoint_block::{Block, Slot, BLOCK_CAPACITY, HALF_CAPACITY};
 use super::endpoint_health::{HealthState, TrackedEndpoint};
 use crate::ids::{Millis, ServerId};
 use std::collections::BTreeSet;
@@ -18,34 +19,35 @@
     pub(super) slot: usize,
 }
 
-/// The next time at which the health of a server may change without an event.
+/// A server whose health may change without an event, and the next time at which this may happen.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Transition {
-    /// The bits of the time, which sort in the same order as the time.
+    /// The time, encoded by [`time_bits`].
     at: u64,
     /// Sort key of the server.
     key: u64,
 }
 
-/// The bits of a time; for times that are not negative, they sort in the same order as the times.
+/// Encodes a time as the bits of its `f64`, which sort in the same order as the times. A negative time is
+/// encoded as 0.
 fn time_bits(at: Millis) -> u64 {
     at.max(0.0).to_bits()
 }
 
 /// Index of all servers of the endpoint list.
 pub(super) struct EndpointIndex {
-    /// Mixed into the hash of the server ids, so that each gateway has a different order.
+    /// Random number that the hash of a server id includes, so that each gateway has a different order.
     salt: u64,
     /// Blocks in the gateway's order. No block is empty.
     pub(super) blocks: Vec<Block>,
     /// The next health transition of each server that has one.
     transitions: BTreeSet<Transition>,
-    /// Generation of the current complete list, which increases with each complete list.
+    /// Increased by 1, wrapping around, when a complete list begins.
     list_generation: u32,
     len: usize,
-    ready: usize,
-    healthy: usize,
-    warm: usize,
+    ready_count: usize,
+    healthy_count: usize,
+    warm_count: usize,
 }
 
 impl EndpointIndex {
@@ -56,9 +58,9 @@
             transitions: BTreeSet::new(),
             list_generation: 0,
             len: 0,
-            ready: 0,
-            healthy: 0,
-            warm: 0,
+            ready_count: 0,
+            healthy_count: 0,
+            warm_count: 0,
         }
     }
 
@@ -67,19 +69,19 @@
         self.len
     }
 
-    /// Number of servers that take requests according to the endpoint list.
-    pub(super) fn ready(&self) -> usize {
-        self.ready
+    /// Number of servers that accept new requests according to the endpoint list.
+    pub(super) fn ready_count(&self) -> usize {
+        self.ready_count
     }
 
-    /// Number of healthy servers, including those that take no requests.
-    pub(super) fn healthy(&self) -> usize {
-        self.healthy
+    /// Number of healthy servers, including those that accept no new requests.
+    pub(super) fn healthy_count(&self) -> usize {
+        self.healthy_count
     }
 
     /// Number of servers whose slow start is over.
-    pub(super) fn warm(&self) -> usize {
-        self.warm
+    pub(super) fn warm_count(&self) -> usize {
+        self.warm_count
     }
 
     /// Sort key of a server in the gateway's order. No two servers have the same key.
@@ -87,7 +89,7 @@
         (u64::from(server.0) ^ self.salt).wrapping_mul(GOLDEN_RATIO).rotate_left(HASH_ROTATION)
     }
 
-    /// The position of a key, or the position at which it would be inserted.
+    /// Position of the server with this key, or as `Err` the position at which to insert the server.
     fn search(&self, key: u64) -> Result<EndpointPosition, EndpointPosition> {
         let block = self.blocks.partition_point(|block| block.first_key <= key).saturating_sub(1);
         let Some(candidate) = self.blocks.get(block) else {
@@ -109,13 +111,13 @@
         &self.blocks[position.block].slots[position.slot].tracked_endpoint
     }
 
-    /// Mutable access to a server. After a change that affects its health or localities, the caller has to
-    /// call [`EndpointIndex::set_health`] or [`EndpointIndex::update_localities`].
+    /// Mutable access to a server. The caller has to call [`EndpointIndex::set_health`] after a change that
+    /// affects the server's health, and [`EndpointIndex::update_localities`] after a change of zone or cell.
     pub(super) fn at_mut(&mut self, position: EndpointPosition) -> &mut TrackedEndpoint {
         &mut self.blocks[position.block].slots[position.slot].tracked_endpoint
     }
 
-    /// Finds a server, or inserts it with default health, and marks it as part of the current complete list.
+    /// Finds a server, or inserts it with default health, and sets its list generation to the current one.
     pub(super) fn find_or_insert(&mut self, server: ServerId) -> EndpointPosition {
         let key = self.key(server);
         let position = self.search(key).unwrap_or_else(|position| self.insert(key, position));
@@ -131,9 +133,9 @@
         if self.blocks[block].slots.len() == BLOCK_CAPACITY {
             let upper = self.blocks[block].split_off();
             self.blocks.insert(block + 1, upper);
-            if slot > MERGE_SIZE {
+            if slot > HALF_CAPACITY {
                 block += 1;
-                slot -= MERGE_SIZE;
+                slot -= HALF_CAPACITY;
             }
         }
         self.blocks[block].insert(slot, Slot { key, ..Slot::default() });
@@ -141,13 +143,13 @@
         EndpointPosition { block, slot }
     }
 
-    /// Updates the locality masks to the zone and cell of a server's list entry.
+    /// Updates the locality masks of a server's block to the zone and cell in the server's list entry.
     pub(super) fn update_localities(&mut self, position: EndpointPosition) {
         self.blocks[position.block].update_localities(position.slot);
     }
 
     /// Sets the health of a server and updates masks and counts. `next_transition` is the next time at which
-    /// the health may change without an event.
+    /// the health may change without an event, or `None` if the health changes only by events.
     pub(super) fn set_health(
         &mut self,
         position: EndpointPosition,
@@ -162,9 +164,9 @@
         let old_transition = std::mem::replace(&mut slot.next_transition, transition);
         if old_health != health {
             block.update_health_bits(position.slot);
-            adjust_count(&mut self.ready, old_health.ready, health.ready);
-            adjust_count(&mut self.healthy, old_health.healthy, health.healthy);
-            adjust_count(&mut self.warm, old_health.warm, health.warm);
+            adjust_count(&mut self.ready_count, old_health.ready, health.ready);
+            adjust_count(&mut self.healthy_count, old_health.healthy, health.healthy);
+            adjust_count(&mut self.warm_count, old_health.warm, health.warm);
         }
         if old_transition != transition {
             if let Some(at) = old_transition {
@@ -208,10 +210,10 @@
         }
     }
 
-    /// Merges a block with the next one if both together hold at most [`MERGE_SIZE`] servers.
+    /// Merges the block at `index` with the next one if both together hold at most [`HALF_CAPACITY`] servers.
     fn merge_with_next(&mut self, index: usize) {
         let Some(next) = self.blocks.get(index + 1) else { return };
-        if self.blocks[index].slots.len() + next.slots.len() <= MERGE_SIZE {
+        if self.blocks[index].slots.len() + next.slots.len() <= HALF_CAPACITY {
             let next = self.blocks.remove(index + 1);
             self.blocks[index].append(next);
         }
@@ -234,7 +236,8 @@
     }
 }
 
-/// Updates a count for one server that was counted if `before` holds and is counted now if `after` holds.
+/// Updates the number of servers with a property after that property of one server has changed from `before`
+/// to `after`.
 fn adjust_count(count: &mut usize, before: bool, after: bool) {
     *count = *count + usize::from(after) - usize::from(before);
 }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -1,12 +1,13 @@
-//! Selects the server of an attempt: the one with the lowest cost, from its response time and its attempts in
-//! flight. The gateway compares all servers, or, if it uses only a subset of them, two random members of the
-//! subset (power of two choices).
+//! Selects the server of an attempt: the candidate with the lowest cost. The cost depends on the server's
+//! mean response time, its attempts in flight and its progress in slow start. The gateway compares all
+//! candidates, or, if it uses only a subset of the servers, two random members of the subset (power of two
+//! choices).
 //!
 //! With many servers and little traffic, a gateway that used all servers would get results from each of them
-//! too rarely to judge its health. The gateway then uses a subset, the first servers in an order of its own,
-//! so that each member gets requests often enough. Comparing only two random members prevents all gateways
-//! from choosing the same server at the same time. The drawback is that servers get uneven shares of the
-//! traffic.
+//! too rarely to judge its health. The gateway then uses a subset, the first eligible servers in an order of
+//! its own, so that each member gets requests often enough. Comparing only two random members prevents all
+//! gateways from choosing the same server at the same time. The drawback is that servers get uneven shares of
+//! the traffic.
 
 use super::candidate_set::{Candidate, CandidateSet};
 use super::endpoint_block::{bit_indices, bits_below, Locality};
@@ -20,8 +21,9 @@
 use crate::settings::{DeduplicationScope, Idempotency};
 use rand_pcg::Pcg64Mcg;
 
-/// The subset has as many servers as the gateway sends first attempts in this time, in ms. Each member thus
-/// gets a request every few seconds, however many servers there are.
+/// The size of the subset is the number of first attempts that the gateway sends in this time, in ms, but at
+/// least [`MIN_SUBSET_SIZE`]. Above this minimum, each member gets a request every few seconds, however
+/// many servers there are.
 const SUBSET_TRAFFIC_WINDOW: Millis = 3000.0;
 /// Minimum number of servers in the subset.
 const MIN_SUBSET_SIZE: f64 = 8.0;
@@ -29,28 +31,28 @@
 const OVERALL_LATENCY_GAIN: f64 = 0.02;
 /// Lower bound, in ms, of the mean response time over all servers in the calculation of costs.
 const MIN_OVERALL_LATENCY: Millis = 1.0;
-/// Time constant, in ms, with which the latency assumed for a server without new samples returns to the mean
-/// over all servers.
+/// Time constant, in ms, of an exponential decay: while a server gets no new samples, the latency in its cost
+/// returns from the server's own mean to the mean over all servers.
 const LATENCY_DECAY_TIME: Millis = 4000.0;
 /// Factor on [`LATENCY_DECAY_TIME`] if the gateway uses a subset, since samples are rarer then.
 const SUBSET_DECAY_FACTOR: f64 = 3.0;
-/// Maximum share that is added to a cost at random, so that servers of equal cost share the traffic.
+/// Maximum share of a cost that is added at random, so that servers of equal cost share the traffic.
 const COST_JITTER: f64 = 0.1;
-/// Factor on the lower bound of a cost that allows for rounding errors.
+/// Factor on the lower bound of a cost, so that a rounding error does not exclude the cheapest server.
 const ROUNDING_MARGIN: f64 = 0.999;
 
-/// The servers that the next attempt of a request may be sent to.
+/// The servers to which the idempotency of a request's class allows the next attempt.
 #[derive(Clone, Copy)]
 enum AllowedServers {
     All,
-    /// The servers that share idempotency keys with the server that may have executed the request.
+    /// The servers that share idempotency keys with the first server that may have executed the request.
     SameLocality(Locality),
     None,
 }
 
-/// The server with the lowest cost so far.
+/// The server with the lowest cost so far; the cost is infinite while there is no server.
 #[derive(Clone, Copy)]
-struct Cheapest {
+struct CheapestServer {
     cost: f64,
     server: Option<ServerId>,
 }
@@ -59,7 +61,7 @@
 pub(super) struct EndpointSelector {
     index: EndpointIndex,
     slow_start: SlowStart,
-    /// Mean response time over all servers.
+    /// Mean response time of successful attempts to all servers.
     mean_latency: MeanLatency,
     /// Whether the last selection used only a subset of the servers.
     subset_active: bool,
@@ -91,7 +93,9 @@
         self.subset_active
     }
 
-    /// Number of servers and of blocks (of up to 64 servers) that all selections so far have examined.
+    /// Number of servers plus number of blocks of up to 64 servers that each selection has examined, summed
+    /// over all selections. A server is counted once when slow start is checked and once when its cost is
+    /// calculated.
     pub(super) fn endpoints_examined(&self) -> u64 {
         self.endpoints_examined
     }
@@ -151,8 +155,8 @@
 
     // ---- Selection ----------------------------------------------------------------------------
 
-    /// Selects the server with the lowest cost for the next attempt of the request. `send_rate` is this
-    /// gateway's rate of first attempts, per millisecond.
+    /// Selects the server for the next attempt of the request, or `None` if no server may get the attempt
+    /// now. `send_rate` is this gateway's rate of first attempts, per millisecond.
     pub(super) fn select(
         &mut self,
         now: Millis,
@@ -164,13 +168,13 @@
             self.refresh_health(now, position);
         }
         let subset_size = (send_rate * SUBSET_TRAFFIC_WINDOW).max(MIN_SUBSET_SIZE);
-        self.subset_active = subset_size < self.index.ready() as f64;
+        self.subset_active = subset_size < self.index.ready_count() as f64;
         let max_size = if self.subset_active { subset_size.ceil() as usize } else { usize::MAX };
         let candidates = self.collect_candidates(now, request, max_size, send_rate);
-        // Each scanned server has its own draw, indexed by its rank, whether the server is compared or not.
+        // Each scanned server has a draw, indexed by the server's rank, even if its cost is not compared.
         let mut draws = IndexedDraws::new(rng.clone());
         rng.advance(candidates.servers_scanned() as u128);
-        let mut cheapest = Cheapest { cost: f64::INFINITY, server: None };
+        let mut cheapest = CheapestServer { cost: f64::INFINITY, server: None };
         if self.subset_active && candidates.len() > 2 {
             for index in two_random_indices(candidates.len(), rng) {
                 let Some(candidate) = candidates.nth(index) else { continue };
@@ -185,10 +189,10 @@
         cheapest.server
     }
 
-    /// The servers that the next attempt of a request may be sent to. This depends on the idempotency of its
-    /// class if a server may have executed an earlier attempt.
+    /// The servers to which the idempotency of the request's class allows the next attempt. All servers are
+    /// allowed if no server may have executed an earlier attempt.
     fn allowed_servers(&self, request: &TrackedRequest) -> AllowedServers {
-        let Some(first) = request.first_possible_execution() else { return AllowedServers::All };
+        let Some(first) = request.first_possibly_executed_attempt() else { return AllowedServers::All };
         let first_endpoint = self.index.get(first.server).map(|tracked| &tracked.endpoint);
         let locality = match request.class.idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => {
@@ -205,15 +209,17 @@
         locality.map_or(AllowedServers::None, AllowedServers::SameLocality)
     }
 
-    /// The servers to exclude because the request was sent to them before. If only one server is ready, it is
-    /// excluded only while the request has an attempt in flight to it, so that a retry can use it again.
+    /// The servers to exclude because they have received an attempt of the request. If at most one server is
+    /// ready, a server is excluded only while the request has an attempt in flight to it, so that a retry can
+    /// use the same server again.
     fn excluded_servers(&self, request: &TrackedRequest) -> Vec<EndpointPosition> {
-        let others_ready = self.index.ready() > 1;
+        let others_ready = self.index.ready_count() > 1;
         let excluded = request.attempts.iter().filter(|attempt| attempt.in_flight || others_ready);
         excluded.filter_map(|attempt| self.index.find(attempt.server)).collect()
     }
 
-    /// The first servers that the next attempt of the request may be sent to, at most `max_size` of them.
+    /// The first servers in the gateway's order that the next attempt of the request may be sent to, at most
+    /// `max_size` of them.
     fn collect_candidates(
         &mut self,
         now: Millis,
@@ -223,15 +229,15 @@
     ) -> CandidateSet {
         let allowed = self.allowed_servers(request);
         let excluded = self.excluded_servers(request);
-        let rate_per_server = send_rate / self.index.warm().max(1) as f64;
+        let rate_per_server = send_rate / self.index.warm_count().max(1) as f64;
         // Ejection applies while there are at least half as many healthy servers as ready ones. Otherwise the
         // failures are assumed to have a common cause, and of the unhealthy servers only the unreachable ones
         // are excluded.
-        let ejection_active = 2 * self.index.healthy() >= self.index.ready();
+        let ejection_active = 2 * self.index.healthy_count() >= self.index.ready_count();
         let mut candidates = std::mem::take(&mut self.candidates);
         candidates.reset(max_size);
         for block_index in 0..self.index.blocks.len() {
-            if candidates.remaining() == 0 {
+            if candidates.remaining_capacity() == 0 {
                 break;
             }
             self.endpoints_examined += 1;
@@ -250,7 +256,7 @@
                 now,
                 block_index,
                 members,
-                candidates.remaining(),
+                candidates.remaining_capacity(),
                 rate_per_server,
             );
             candidates.add(block_index, members, block_len);
@@ -258,8 +264,8 @@
         candidates
     }
 
-    /// Removes from `members` the servers to which slow start allows no attempt now. Servers after the first
-    /// `needed` members are not checked.
+    /// Removes from `members` the servers to which slow start allows no attempt now. The check stops as
+    /// soon as the first `needed` members are known, because the caller uses no more than these.
     fn exclude_slow_start_limited(
         &mut self,
         now: Millis,
@@ -273,34 +279,42 @@
                 break;
             }
             self.endpoints_examined += 1;
-            if !self.slow_start_allows(now, EndpointPosition { block, slot }, rate_per_server) {
+            if !self.refill_slow_start_tokens(now, EndpointPosition { block, slot }, rate_per_server) {
                 members &= !(1 << slot);
             }
         }
         members
     }
 
-    /// Whether slow start allows an attempt to the server at `position` now.
-    fn slow_start_allows(&mut self, now: Millis, position: EndpointPosition, rate_per_server: f64) -> bool {
+    /// Refills the slow start tokens of the server at `position` if it has not reached its full capacity, and
+    /// returns whether slow start allows an attempt now.
+    fn refill_slow_start_tokens(
+        &mut self,
+        now: Millis,
+        position: EndpointPosition,
+        rate_per_server: f64,
+    ) -> bool {
         let tracked = self.index.at_mut(position);
         let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started);
         capacity_fraction >= 1.0 || tracked.slow_start_tokens.refill(now, capacity_fraction, rate_per_server)
     }
 
-    /// Replaces `cheapest` by the candidate if the candidate has a lower cost. The cost follows from the
-    /// server's response time, its attempts in flight and the share of its capacity reached in slow start.
+    /// Replaces `cheapest` with the candidate if the candidate has a lower cost. The cost depends on the
+    /// server's response time, its attempts in flight, the share of its full capacity that it has reached in
+    /// slow start, and a random jitter.
     fn update_cheapest(
         &mut self,
         now: Millis,
         candidate: Candidate,
         draws: &mut IndexedDraws,
-        cheapest: &mut Cheapest,
+        cheapest: &mut CheapestServer,
     ) {
         self.endpoints_examined += 1;
         let tracked = self.index.at(candidate.position);
         let jitter = 1.0 + COST_JITTER * draws.at(candidate.rank);
         let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started);
-        let cost = |latency: Millis| latency * (1.0 + tracked.in_flight()) * jitter / capacity_fraction;
+        let cost =
+            |latency: Millis| latency * (1.0 + tracked.attempts_in_flight()) * jitter / capacity_fraction;
         let overall_latency = self.mean_latency.get().unwrap_or(0.0).max(MIN_OVERALL_LATENCY);
         let server_latency = tracked.mean_latency().unwrap_or(overall_latency);
         // The latency in the cost lies between the server's own mean and the mean over all servers. For most
@@ -312,12 +326,12 @@
         let sample_weight = (-tracked.sample_age(now) / (LATENCY_DECAY_TIME * decay_factor)).exp();
         let cost = cost(overall_latency + (server_latency - overall_latency) * sample_weight);
         if cheapest.server.is_none() || cost < cheapest.cost {
-            *cheapest = Cheapest { cost, server: Some(tracked.endpoint.server) };
+            *cheapest = CheapestServer { cost, server: Some(tracked.endpoint.server) };
         }
     }
 }
 
-/// Draws two different indices below `len`, which is at least 2.
+/// Draws two different indices below `len`, which must be at least 2.
 fn two_random_indices(len: usize, rng: &mut Pcg64Mcg) -> [usize; 2] {
     let first = (uniform(rng) * len as f64) as usize;
     let other = (first + 1 + (uniform(rng) * (len - 1) as f64) as usize) % len;
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -18,27 +18,27 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The mean response time of a class starts at its latency objective divided by this.
+/// The initial mean response time of a class is the class's latency objective divided by this value.
 const INITIAL_LATENCY_DIVISOR: f64 = 5.0;
 
 /// Makes the decisions of one gateway and holds the state that they need.
 pub struct Gateway {
     pub(super) settings: Settings,
     pub(super) rng: Pcg64Mcg,
-    /// Time of the first event.
+    /// Time of the first event; `None` before that event.
     pub(super) started_at: Option<Millis>,
     pub(super) selector: EndpointSelector,
     pub(super) tenants: BTreeMap<TenantId, Tenant>,
     /// Tenants that may have units to send to the counter. Each housekeeping run checks all of them.
-    pub(super) unsynced: BTreeSet<TenantId>,
-    pub(super) eviction: EvictionCursor,
+    pub(super) unsynced_tenants: BTreeSet<TenantId>,
+    pub(super) eviction_cursor: EvictionCursor,
     /// Tenant and disposition of each counter key that has calls in flight.
     pub(super) counter_calls: BTreeMap<CounterKey, KeyOwner>,
     pub(super) counter_health: CounterHealth,
     pub(super) requests: BTreeMap<RequestId, TrackedRequest>,
     /// Requests that are waiting to be forwarded.
     pub(super) queue: BTreeSet<RequestId>,
-    /// Mean response time of each class, ms.
+    /// Mean response time of each class, ms, indexed by [`ClassId`](crate::ids::ClassId).
     pub(super) class_latency: Vec<Millis>,
     pub(super) concurrency: ConcurrencyLimit,
     pub(super) retry_budget: RetryBudget,
@@ -62,8 +62,8 @@
             rng,
             started_at: None,
             tenants: BTreeMap::new(),
-            unsynced: BTreeSet::new(),
-            eviction: EvictionCursor::default(),
+            unsynced_tenants: BTreeSet::new(),
+            eviction_cursor: EvictionCursor::default(),
             counter_calls: BTreeMap::new(),
             requests: BTreeMap::new(),
             queue: BTreeSet::new(),
@@ -79,12 +79,15 @@
         self.tenants.len()
     }
 
-    /// Number of servers, and of blocks of up to 64 servers, that server selection has examined so far.
+    /// Number of servers plus number of blocks of up to 64 servers that each server selection has examined,
+    /// summed over all selections. A server is counted once when slow start is checked and once when its cost
+    /// is calculated.
     pub fn endpoints_examined(&self) -> u64 {
         self.selector.endpoints_examined()
     }
 
-    /// Handles one event that happens at `now`, ms, and appends the resulting actions. `now` must not be
+    /// Handles one event that happens at `now`, ms, and appends the resulting actions. The first call also
+    /// schedules housekeeping and, if the settings say so, asks for the endpoint list. `now` must not be
     /// earlier than in the previous call.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         if self.started_at.is_none() {
@@ -100,7 +103,7 @@
             Event::ResponseStarted { id, .. } => self.response_started(id),
             Event::ClientDisconnected(id) => self.finish(now, id),
             Event::Timer(_) => self.run_housekeeping(now),
-            // The gateway requests no health checks.
+            // The gateway never asks for health checks.
             Event::HealthChecked { .. } => {}
             Event::CounterReplied { key, outcome, elapsed, total } => {
                 self.counter_replied(now, key, outcome, elapsed, total);
@@ -124,8 +127,8 @@
 
     fn run_housekeeping(&mut self, now: Millis) {
         self.schedule_housekeeping();
-        self.eviction.evict_idle(now, &mut self.tenants, &mut self.unsynced);
-        for tenant in self.unsynced.iter().copied().collect::<Vec<_>>() {
+        self.eviction_cursor.evict_idle(now, &mut self.tenants, &mut self.unsynced_tenants);
+        for tenant in self.unsynced_tenants.iter().copied().collect::<Vec<_>>() {
             self.sync_counter(now, tenant);
         }
         self.send_hedged_requests(now);
@@ -142,7 +145,7 @@
 
     fn response_started(&mut self, id: RequestId) {
         if let Some(tracked) = self.requests.get_mut(&id) {
-            tracked.streaming = true;
+            tracked.response_started = true;
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! The decisions of one gateway. The module does no I/O, reads no clock and draws random numbers only from
-//! its own seed, so the same settings, seed and events always produce the same actions.
+//! The decisions of one gateway. The module does no I/O, reads no clock and takes its random numbers only
+//! from a generator with a given seed, so the same settings, seed and events always produce the same actions.
 //!
 //! [`Gateway`] passes each event to the module that handles it. A request goes through the modules in this
 //! order: `request_lifecycle` (arrival to final answer), `admission` (quota, ceiling, attempts in flight),
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -4,7 +4,7 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
-/// Number of random bits used for a draw: as many as an `f64` between 0 and 1 holds exactly.
+/// Number of random bits in a draw: the precision of an `f64`.
 const MANTISSA_BITS: u32 = 53;
 
 /// Draws a number from 0 up to, but not including, 1.
@@ -14,7 +14,9 @@
 
 /// A sequence of draws in which each draw can be read by its index, without making the earlier ones.
 pub(super) struct IndexedDraws {
-    start: Pcg64Mcg,
+    /// The generator before the draw at index 0.
+    initial_rng: Pcg64Mcg,
+    /// The generator before the draw at `next_index`.
     rng: Pcg64Mcg,
     /// Index of the draw that `rng` makes next.
     next_index: usize,
@@ -23,13 +25,13 @@
 impl IndexedDraws {
     /// The draws that `rng` would make from its current state on.
     pub(super) fn new(rng: Pcg64Mcg) -> Self {
-        IndexedDraws { start: rng.clone(), rng, next_index: 0 }
+        IndexedDraws { initial_rng: rng.clone(), rng, next_index: 0 }
     }
 
     /// The draw at `index`, from 0 up to, but not including, 1.
     pub(super) fn at(&mut self, index: usize) -> f64 {
         if index < self.next_index {
-            self.rng = self.start.clone();
+            self.rng = self.initial_rng.clone();
             self.next_index = 0;
         }
         self.rng.advance((index - self.next_index) as u128);
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -22,14 +22,14 @@
     pub(super) request: Request,
     pub(super) class: Class,
     pub(super) arrived_at: Millis,
-    /// Time after which a response no longer has its full value.
+    /// Time after which a response no longer has its full value; at the latest the deadline.
     pub(super) objective_at: Millis,
     /// Time at which the client gives up.
     pub(super) deadline_at: Millis,
     /// The attempts in the order in which they were started.
     pub(super) attempts: Vec<Attempt>,
     /// Whether the gateway has started to send a response to the client.
-    pub(super) streaming: bool,
+    pub(super) response_started: bool,
     /// Whether the request has its final answer or its client has disconnected. Attempts may still be in
     /// flight.
     pub(super) finished: bool,
@@ -43,7 +43,7 @@
             objective_at: now + class.latency_objective.min(request.time_left),
             deadline_at: now + request.time_left,
             attempts: Vec::new(),
-            streaming: false,
+            response_started: false,
             finished: false,
             quota_check: QuotaCheck::default(),
             request,
@@ -52,7 +52,7 @@
     }
 
     /// The first attempt whose server may have executed the request.
-    pub(super) fn first_possible_execution(&self) -> Option<&Attempt> {
+    pub(super) fn first_possibly_executed_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_executed)
     }
 
@@ -60,18 +60,19 @@
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
-    /// Timeout of an attempt that starts now, ms. The attempt times out when a response no longer has any
-    /// value.
+    /// Timeout of an attempt that starts now, ms; at least 1. The attempt times out when a response no longer
+    /// has any value.
     pub(super) fn attempt_timeout(&self, now: Millis) -> Millis {
         let until = if self.class.late_value > 0.0 { self.deadline_at } else { self.objective_at };
         (until - now).max(1.0)
     }
 
-    /// Whether the idempotency of the class and `max_attempts` allow another attempt, and no response has
-    /// started. A `max_attempts` of 0 means that there is no limit. The window in which servers remember an
-    /// idempotency key is treated as one housekeeping interval shorter.
+    /// Whether the request may have another attempt: the idempotency of the class and `max_attempts` allow an
+    /// attempt, and no response to the client has started. A `max_attempts` of 0 means that there is no
+    /// limit. The time for which servers remember an idempotency key is shortened by one housekeeping
+    /// interval for this check.
     pub(super) fn may_attempt_again(&self, now: Millis, max_attempts: u32) -> bool {
-        let idempotency_allows = match (self.class.idempotency, self.first_possible_execution()) {
+        let idempotency_allows = match (self.class.idempotency, self.first_possibly_executed_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::NonIdempotent, Some(_)) => false,
             (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
@@ -79,15 +80,16 @@
             }
         };
         let attempts_left = max_attempts == 0 || (self.attempts.len() as u32) < max_attempts;
-        idempotency_allows && attempts_left && !self.streaming
+        idempotency_allows && attempts_left && !self.response_started
     }
 
-    /// Whether the request may be rejected. A rejection promises the client that a retry is harmless.
+    /// Whether the request may be rejected rather than failed. A rejection tells the client that a retry is
+    /// harmless.
     pub(super) fn is_safe_to_reject(&self) -> bool {
-        let deduplicated_everywhere = matches!(
+        let may_repeat_on_all_servers = matches!(
             self.class.idempotency,
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
         );
-        deduplicated_everywhere || self.first_possible_execution().is_none()
+        may_repeat_on_all_servers || self.first_possibly_executed_attempt().is_none()
     }
 }
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,4 +1,5 @@
-//! The lifecycle of a request: arrival, admission, attempts, retries and exactly one final answer.
+//! The lifecycle of a request: arrival, admission, attempts, retries and one final answer, or none if the
+//! client disconnects first.
 
 use super::admission::{admit, Admission};
 use super::disposition::Disposition;
@@ -15,7 +16,7 @@
 const CLASS_LATENCY_GAIN: f64 = 0.03;
 
 impl Gateway {
-    /// Mean response time of a class, ms.
+    /// Mean response time of a class, ms; 0 if the class is unknown.
     pub(super) fn class_latency(&self, class: ClassId) -> Millis {
         self.class_latency.get(class.0).copied().unwrap_or(0.0)
     }
@@ -44,7 +45,7 @@
             self.reserve_on_counter(now, &mut tracked);
         }
         self.requests.insert(id, tracked);
-        self.unsynced.insert(tenant_id);
+        self.unsynced_tenants.insert(tenant_id);
         if arrived_too_late {
             self.reject_or_fail(now, id);
             return;
@@ -53,9 +54,9 @@
         self.sync_counter(now, tenant_id);
     }
 
-    /// Whether a request arrives with too little time left to be forwarded or queued: less than half the mean
-    /// response time, or less than a housekeeping interval. A queued request could run out of time before the
-    /// next housekeeping run, and would then get no answer.
+    /// Whether a request arrives too close to its latency objective to be forwarded or queued: less than half
+    /// the mean response time or less than one housekeeping interval before the objective. A queued request
+    /// could run out of time before the next housekeeping run, and would then get no answer.
     fn arrived_too_late(&self, now: Millis, tracked: &TrackedRequest) -> bool {
         let half_response_time = self.class_latency(tracked.request.class) / 2.0;
         tracked.objective_at - now < half_response_time.max(HOUSEKEEPING_INTERVAL)
@@ -91,8 +92,9 @@
         admit(now, tracked, tenant, roll)
     }
 
-    /// Whether a waiting request can still meet its latency objective. Twice the mean response time and twice
-    /// the housekeeping interval have to be left after its tenant's ceiling has refilled.
+    /// Whether a waiting request can still meet its latency objective. After the tenant's ceiling has
+    /// refilled enough for the request, twice the mean response time and twice the housekeeping interval have
+    /// to be left.
     pub(super) fn can_meet_objective(&self, now: Millis, id: RequestId) -> bool {
         let Some(tracked) = self.requests.get(&id) else { return false };
         let request = &tracked.request;
@@ -150,13 +152,14 @@
     /// Whether another attempt is allowed and could still meet the latency objective.
     fn may_start_further_attempt(&self, now: Millis, id: RequestId) -> bool {
         let Some(tracked) = self.requests.get(&id) else { return false };
-        let service_time = self.class_latency(tracked.request.class);
+        let mean_latency = self.class_latency(tracked.request.class);
         tracked.may_attempt_again(now, self.settings.max_attempts)
-            && tracked.objective_at - now > service_time
+            && tracked.objective_at - now > mean_latency
     }
 
-    /// Handles the end of an attempt. `complete` says whether the request has its final answer. If it has
-    /// none and no other attempt is in flight, the request is retried, or else rejected or failed.
+    /// Handles the end of an attempt. `complete` says whether the request has its final answer. If the
+    /// request has no final answer and no other attempt in flight, it is retried; if a retry is not allowed
+    /// or the attempt was cancelled, it is rejected or failed.
     pub(super) fn attempt_ended(
         &mut self,
         now: Millis,
@@ -205,8 +208,8 @@
 
     // ---- The final answer ---------------------------------------------------------------------
 
-    /// Gives the final answer to a request that gets no response from a server: rejected if a retry by the
-    /// client is harmless, otherwise failed.
+    /// Gives the final answer to a request that gets no response from a server: the request is rejected if a
+    /// retry by the client is harmless, and failed otherwise.
     pub(super) fn reject_or_fail(&mut self, now: Millis, id: RequestId) {
         let Some(tracked) = self.requests.get(&id) else { return };
         let action = if tracked.is_safe_to_reject() {
@@ -220,8 +223,8 @@
     }
 
     /// Time after which a retry by the client may be admitted, ms: the time until the tenant's quota and
-    /// ceiling have refilled, but at least the mean response time of the class and at most `max_retry_after`,
-    /// the longest time that clients obey.
+    /// ceiling have refilled enough for the request, but at least the mean response time of the class and at
+    /// most `max_retry_after`, the longest time that clients obey.
     fn retry_after(&self, tracked: &TrackedRequest) -> Millis {
         let request = &tracked.request;
         let Some(tenant) = self.tenants.get(&request.tenant) else { return 0.0 };
@@ -231,13 +234,13 @@
 
     /// Marks a request as finished, whatever the reason. Attempts still in flight are cancelled if the
     /// settings allow it and no response has started. A request without attempts is recorded as not
-    /// forwarded.
+    /// forwarded. The request is removed once none of its attempts is in flight.
     pub(super) fn finish(&mut self, now: Millis, id: RequestId) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         tracked.finished = true;
-        if self.settings.cancellation_allowed && !tracked.streaming {
-            for (number, _) in tracked.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight) {
-                self.actions.push(Action::Cancel { id, attempt: number as u8 });
+        if self.settings.cancellation_allowed && !tracked.response_started {
+            for (index, _) in tracked.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight) {
+                self.actions.push(Action::Cancel { id, attempt: index as u8 });
             }
         }
         if tracked.attempts.is_empty() {
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Records a request as not forwarded and releases its reservation on the counter.
+    /// Records a request as not forwarded and releases its reservation on the counter, if it has one.
     fn record_not_forwarded(&mut self, now: Millis, id: RequestId) {
         let Some(tracked) = self.requests.get_mut(&id) else { return };
         let tenant_id = tracked.request.tenant;
@@ -256,7 +259,7 @@
         let reservation = tracked.quota_check.reservation.take();
         let max_cache_age = self.counter_health.max_cache_age();
         if let Some(tenant) = self.tenants.get_mut(&tenant_id).filter(|tenant| tenant.has_quota()) {
-            self.unsynced.insert(tenant_id);
+            self.unsynced_tenants.insert(tenant_id);
             tenant.advance_to(now);
             tenant.record(now, Disposition::NotForwarded, units, max_cache_age);
         }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,5 +1,5 @@
 //! The retry budget: limits retries and hedged requests to a small share of the first attempts, so that they
-//! add little traffic while servers are failing. It is a token bucket, as in Finagle's `RetryBudget`.
+//! add little traffic while servers are failing. The budget is a token bucket, as in Finagle's `RetryBudget`.
 
 /// Tokens that each first attempt adds to the budget. A retry or hedged request costs one token.
 const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.1;
--- a/src/policy/send_rate.rs
+++ b/src/policy/send_rate.rs
@@ -20,7 +20,8 @@
         self.updated_at = now;
     }
 
-    /// First attempts per millisecond. The rate does not decay between the last first attempt and now.
+    /// First attempts per millisecond, as of the latest call of [`SendRate::record`]. The rate does not decay
+    /// while the gateway sends no first attempts.
     pub(super) fn per_ms(&self) -> f64 {
         self.per_ms
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,14 +1,14 @@
 //! Slow start: limits the attempts that this gateway sends to a server that has just started.
 //!
-//! Each gateway limits its attempts to a starting server. The limit is the mean rate at which the gateway
-//! sends first attempts to a warm server, or [`MIN_RATE_PER_SERVER`] if that is more, times the share of its
-//! full capacity that the server has reached for certain. Without this limit, a burst or the combined traffic
-//! of all gateways could overload a server that has only part of its capacity.
+//! The limit is a rate: the mean rate at which the gateway sends first attempts to a warm server, but at
+//! least [`MIN_RATE_PER_SERVER`], times a lower bound of the share of its full capacity that the starting
+//! server has reached. Without this limit, a burst or the combined traffic of all gateways could overload a
+//! server that has only part of its capacity.
 
 use crate::ids::Millis;
 use crate::settings::Settings;
 
-/// Minimum, in attempts per millisecond, of the rate per warm server that slow start scales down.
+/// Lower bound, in attempts per millisecond, of the rate per warm server from which the limit is calculated.
 const MIN_RATE_PER_SERVER: f64 = 0.0005;
 /// Maximum number of unused attempts that accumulate for a starting server.
 const MAX_TOKENS: f64 = 1.0;
@@ -26,8 +26,8 @@
         SlowStart { initial_capacity: settings.slow_start_capacity, window: settings.slow_start_window }
     }
 
-    /// Lower bound of the share of its full capacity that a server started at `started` has reached by `now`.
-    /// A `started` of 0 means that the server started long ago.
+    /// Lower bound of the share of its full capacity, from 0 to 1, that a server has reached by `now`. The
+    /// server started at `started`; a `started` of 0 means that the server started long ago.
     pub(super) fn capacity_fraction(&self, now: Millis, started: Millis) -> f64 {
         let age = now - started;
         if started <= 0.0 || age >= self.window {
@@ -61,7 +61,8 @@
     }
 
     /// Refills the bucket and returns whether an attempt may be sent. The refill rate is `rate_per_server`,
-    /// the attempts per millisecond to a warm server, times `capacity_fraction`.
+    /// the attempts per millisecond to a warm server, but at least [`MIN_RATE_PER_SERVER`], times
+    /// `capacity_fraction`.
     pub(super) fn refill(&mut self, now: Millis, capacity_fraction: f64, rate_per_server: f64) -> bool {
         let rate = capacity_fraction * rate_per_server.max(MIN_RATE_PER_SERVER);
         let refilled = self.tokens + (now - self.refilled_at).max(0.0) * rate;
@@ -70,7 +71,8 @@
         self.tokens >= 1.0
     }
 
-    /// Takes the token of an attempt that is sent.
+    /// Removes one token for an attempt that is sent. Attempts to a warm server also remove tokens, without a
+    /// refill, so the number of tokens can fall below 0.
     pub(super) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
--- a/tests/unit/candidate_set.rs
+++ b/tests/unit/candidate_set.rs
@@ -16,7 +16,7 @@
                 rank: first_rank + slot,
             }));
             first_rank += len;
-            if set.remaining() > 0 {
+            if set.remaining_capacity() > 0 {
                 set.add(block, members, len);
             }
         }
--- a/tests/unit/endpoint_index.rs
+++ b/tests/unit/endpoint_index.rs
@@ -47,7 +47,7 @@
     assert_eq!((slots.len(), index.len()), (expected.len(), expected.len()));
     let count = |of: fn(&HealthState) -> bool| expected.values().filter(|health| of(health)).count();
     assert_eq!(
-        (index.ready(), index.healthy(), index.warm()),
+        (index.ready_count(), index.healthy_count(), index.warm_count()),
         (count(|health| health.ready), count(|health| health.healthy), count(|health| health.warm))
     );
     index.blocks.iter().for_each(|block| check_block(block, expected));
