--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,9 +1,10 @@
-//! Errors of the configuration file and its settings.
+//! Errors in the configuration file, and in settings from the file or from the simulator.
 
 use std::error::Error;
 use std::fmt::{Display, Formatter};
 
-/// The reason why settings are invalid. `key` is the path of a setting, such as `classes.0.deadline`.
+/// The reason why settings are invalid. In each variant, `key` is the path of the setting, such as
+/// `classes.0.deadline`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsError {
     /// A required setting is missing.
@@ -25,7 +26,7 @@
     InvalidCount {
         /// Path of the setting that holds the length.
         key: String,
-        /// The invalid length.
+        /// The length in the settings.
         count: f64,
     },
     /// The value of a setting is missing or is not one of the allowed values.
@@ -56,7 +57,7 @@
 /// The reason why a configuration file cannot be used.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The file at this path cannot be read.
+    /// The file at this path cannot be read or is not UTF-8.
     Unreadable(String, std::io::Error),
     /// The file is not valid JSON, or lacks a required field, or has a field of the wrong type.
     Malformed(serde_json::Error),
--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -10,8 +10,8 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Upper limit of the durations that [`duration_ms`] reads, ms: one day. Longer durations are reduced to it,
-/// since `Duration::from_secs_f64` panics on a value such as 1e300.
+/// Upper limit of the durations that [`duration_ms`] reads, ms: one day. Longer durations are shortened to
+/// one day, because `Duration::from_secs_f64` panics on a value such as 1e300.
 const MAX_DURATION_MS: f64 = 86_400_000.0;
 /// Default of [`Config::server_idle_timeout`], ms.
 const DEFAULT_SERVER_IDLE_TIMEOUT_MS: f64 = 15_000.0;
@@ -20,7 +20,7 @@
 /// Default of [`Config::drain_grace`], ms.
 const DEFAULT_DRAIN_GRACE_MS: f64 = 1000.0;
 
-/// The fields of the configuration file.
+/// The configuration file as it is deserialized. The names of the fields are part of the file format.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -39,10 +39,10 @@
 /// Resource limits that the platform sets for the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// Maximum number of open file descriptors, which includes all sockets.
+    /// Maximum number of open file descriptors, which include all sockets.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// Maximum memory, MB.
+    /// Maximum memory of the process, MB (1 MB is 1,000,000 bytes).
     #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
 }
@@ -61,15 +61,15 @@
     }
 }
 
-/// The names that clients and discovery use for classes, plans and zones. The index of a name is the id that
-/// the policy uses. A name that is not a string in the file is read as an empty one.
+/// The names that clients and discovery use for classes, plans and zones. The policy uses the index of a name
+/// as the id. A name that is missing or not a string in the file is read as an empty string.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// The names of the request classes.
+    /// The names of the request classes, indexed by [`ClassId`](crate::ids::ClassId).
     pub classes: Vec<String>,
-    /// The names of the tenants' plans.
+    /// The names of the tenants' plans, indexed by [`PlanId`](crate::ids::PlanId).
     pub plans: Vec<String>,
-    /// The names of the zones.
+    /// The names of the zones, indexed by [`Endpoint::zone`](crate::event::Endpoint::zone).
     pub zones: Vec<String>,
 }
 
@@ -87,19 +87,20 @@
 
 /// The configuration of a gateway.
 pub struct Config {
-    /// The gateway's name, which the log shows.
+    /// The gateway's name, which is only used in the log.
     pub name: String,
-    /// The address on which the gateway accepts clients.
+    /// The address on which the gateway accepts client connections.
     pub listen: SocketAddr,
     /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The address of the counter service, if there is one.
+    /// The address of the counter service. With `None`, no connections to a counter service are opened.
     pub counter: Option<SocketAddr>,
-    /// Seed of the policy's random numbers.
+    /// Seed of the policy's random numbers. The file contains it as a hexadecimal number; any other text is
+    /// hashed.
     pub seed: u64,
     /// The JSON text of the endpoint list that this gateway used last.
     pub cached_endpoints_json: Option<Box<RawValue>>,
-    /// Resource limits that the platform sets.
+    /// Resource limits that the platform sets for the process.
     pub limits: Limits,
     /// Settings of the policy.
     pub settings: Settings,
@@ -107,9 +108,10 @@
     pub names: Names,
     /// Idle time after which the servers close a connection, ms.
     pub server_idle_timeout: f64,
-    /// Time within which a connection to a server must open, ms. After it, the connection has failed.
+    /// Timeout for opening a connection to a server, ms. A connection that is not open by then has failed.
     pub connect_timeout: f64,
-    /// Time for which new requests may still reach a server after discovery reports that it is draining, ms.
+    /// Time after discovery reports that a server is draining in which new requests may still reach the
+    /// server, ms.
     pub drain_grace: f64,
 }
 
@@ -123,8 +125,9 @@
         Config::parse(&text)
     }
 
-    /// The endpoint list that this gateway used last and now starts with. It may be stale. Returns `None` if
-    /// the list is missing or cannot be decoded; discovery then sends a complete one.
+    /// Decodes the endpoint list that this gateway used last and starts with. The list may be stale. Returns
+    /// `None` if the list is missing or cannot be decoded; the gateway then starts without servers until
+    /// discovery sends a complete list.
     pub fn cached_endpoints(&self) -> Option<EndpointList<'_>> {
         serde_json::from_str(self.cached_endpoints_json.as_ref()?.get()).ok()
     }
@@ -155,7 +158,8 @@
     }
 }
 
-/// Reads a duration, ms. Returns the default if the value is missing, not a JSON number or not positive.
+/// Reads a duration, ms, and limits it to [`MAX_DURATION_MS`]. Returns the default if the value is missing,
+/// not a JSON number or not positive.
 fn duration_ms(value: &Value, default_ms: f64) -> f64 {
     value
         .as_f64()
@@ -163,7 +167,7 @@
         .map_or(default_ms, |duration| duration.min(MAX_DURATION_MS))
 }
 
-/// Derives the seed from a text that is not a 64-bit hexadecimal number, by its FNV-1a hash.
+/// Returns the 64-bit FNV-1a hash of `text`, which is the seed if `text` is not a 64-bit hexadecimal number.
 fn hash_seed(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/src/config/key_values.rs
+++ b/src/config/key_values.rs
@@ -1,25 +1,26 @@
-//! Settings as texts under dotted paths, such as `classes.0.deadline`, and their conversion to numbers and
-//! flags.
+//! Stores settings as strings under dotted paths, such as `classes.0.deadline`, and converts them to numbers
+//! and flags.
 
 use super::error::SettingsError;
 use serde_json::Value;
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// The values of settings by their dotted paths. A list of objects has its length under `.count` and its
-/// items under `.0`, `.1` and so on. A list of scalars is one value, joined by commas. If a path occurs more
-/// than once, the last value is used.
+/// The values of settings by their dotted paths. A list that contains an object, or that is empty, has its
+/// length under `.count` and its items under `.0`, `.1` and so on. Any other list is one value: its items,
+/// joined by commas. If a path occurs more than once, the value that is read last is used; the fields of a
+/// JSON object are read in the order of their sorted names.
 #[derive(Debug, Default)]
 pub(super) struct KeyValues<'a>(HashMap<Cow<'a, str>, Cow<'a, str>>);
 
 impl<'a> KeyValues<'a> {
-    /// Reads `path=value` lines. Lines without `=` are skipped.
+    /// Reads `path=value` lines and trims white space around paths and values. Lines without `=` are skipped.
     pub fn from_text(text: &'a str) -> Self {
         let pairs = text.lines().filter_map(|line| line.split_once('='));
         KeyValues(pairs.map(|(key, value)| (key.trim().into(), value.trim().into())).collect())
     }
 
-    /// Flattens nested JSON.
+    /// Flattens nested JSON into values under dotted paths.
     pub fn from_json(settings: &Value) -> KeyValues<'static> {
         let mut values = KeyValues::default();
         values.insert_json("", settings);
@@ -53,7 +54,7 @@
 }
 
 impl KeyValues<'_> {
-    /// Returns the text of a setting, or `None` if it is missing.
+    /// Returns the text of a setting, or `None` if the setting is missing.
     pub fn text(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(AsRef::as_ref)
     }
@@ -83,16 +84,17 @@
         self.number(key, 0.0)
     }
 
-    /// Whether the value of a setting is `true` or `1`. Any other value is false, and so is a missing one.
+    /// Returns whether the value of a setting is `true` or `1`. Returns false if the setting is missing.
     pub fn flag(&self, key: &str) -> bool {
         matches!(self.text(key).map(str::trim), Some("true" | "1"))
     }
 
-    /// Returns the length of a list of objects. The length may not exceed the number of settings: otherwise a
-    /// wrong length would make the reader allocate items that the settings do not contain.
+    /// Returns the length of a list of objects. The length may not exceed the total number of settings.
+    /// Without this limit, a wrong length would make the settings reader allocate items that the settings do
+    /// not contain.
     ///
     /// # Errors
-    /// Returns an error if the length is missing, negative, not a whole number or over that limit.
+    /// Returns an error if the length is missing, not a number, negative, not whole or over the limit.
     pub fn count(&self, key: &str) -> Result<usize, SettingsError> {
         let count = self.required_number(key)?;
         if count < 0.0 || count.fract() != 0.0 || count > self.0.len() as f64 {
@@ -110,8 +112,8 @@
     }
 }
 
-/// Converts a scalar to the text that the simulator writes for it. Whitespace and commas become `_`, since
-/// they would end the value in the simulator's text.
+/// Converts a scalar, or a list inside a list, to the text that the simulator writes for it. White space and
+/// commas become `_`, because in the simulator's text they would end the value.
 fn scalar_to_text(value: &Value) -> String {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
     text.replace(|c: char| c.is_whitespace() || c == ',', "_")
--- a/src/config/settings_reader.rs
+++ b/src/config/settings_reader.rs
@@ -1,4 +1,5 @@
-//! Builds [`Settings`] from values under the external names of the settings. Unknown names are ignored.
+//! Builds [`Settings`] from values whose dotted paths consist of the external names of the settings. Unknown
+//! paths are ignored.
 
 use super::error::SettingsError;
 use super::key_values::KeyValues;
@@ -12,7 +13,7 @@
     read_settings(&KeyValues::from_text(text))
 }
 
-/// Reads all settings.
+/// Reads all settings. A setting that is missing and not required gets its default.
 ///
 /// # Errors
 /// Returns an error if a required setting is missing or a value is invalid.
@@ -73,7 +74,7 @@
     }
 }
 
-/// Reads the plans. Without `plans.count`, there are none.
+/// Reads the plans. If `plans.count` is missing, there are no plans.
 fn read_plans(values: &KeyValues<'_>) -> Result<Vec<Plan>, SettingsError> {
     if values.text("plans.count").is_none() {
         return Ok(Vec::new());
--- a/src/net/counter/calls.rs
+++ b/src/net/counter/calls.rs
@@ -1,16 +1,16 @@
-//! Tracks the calls whose outcome has not been reported yet.
+//! Tracks the calls to the counter service whose outcomes have not been reported yet.
 
 use crate::ids::{CounterKey, Millis};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
-/// Identifies a call; no two calls of a process have the same id.
+/// Identifies a call. A [`CounterClient`](super::CounterClient) uses each id only once.
 pub type CallId = u64;
 
 /// A call that was answered, failed or timed out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompletedCall {
-    /// The counter that the call was for.
+    /// The key of the counter that the call was for.
     pub key: CounterKey,
     /// Time since the call was queued, ms.
     pub elapsed: Millis,
@@ -21,7 +21,8 @@
     started_at: Millis,
 }
 
-/// The calls whose outcome has not been reported yet. The outcome of each call is reported once.
+/// The calls whose outcomes have not been reported yet. A call is removed when its outcome is reported, so
+/// that no outcome is reported twice.
 #[derive(Default)]
 pub(super) struct OutstandingCalls {
     calls: RefCell<HashMap<CallId, OutstandingCall>>,
@@ -37,7 +38,7 @@
     }
 
     /// Removes a call so that the caller can report its outcome. Returns `None` if the call was already
-    /// removed, as happens when its reply arrives after its timeout.
+    /// removed, for example because it timed out before its reply arrived.
     pub(super) fn complete(&self, id: CallId, now: Millis) -> Option<CompletedCall> {
         let call = self.calls.borrow_mut().remove(&id)?;
         Some(CompletedCall { key: call.key, elapsed: now - call.started_at })
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -7,26 +7,28 @@
 use std::collections::VecDeque;
 use tokio::sync::Notify;
 
-/// Maximum number of pending calls on a connection; further calls fail at once. Bounds the memory that is
-/// used while the service does not reply.
+/// Number of pending calls on a connection at which further calls fail at once. This limits the memory that
+/// is used while the service does not reply.
 const MAX_PENDING_CALLS: usize = 512;
 
-/// Time without a call, ms, after which an idle connection is pinged, so that the service does not close it.
+/// Time, ms, since the last call or ping was queued after which a connection without pending calls is pinged,
+/// so that the service does not close the connection.
 const PING_INTERVAL: Millis = 2000.0;
 
-/// The kind of a pending call.
+/// An increment, whose outcome is reported, or a ping, which only keeps the connection open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PendingKind {
     Increment(CallId),
     Ping,
 }
 
-/// A call on a connection that has not been answered.
+/// A queued call that has not been answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PendingCall {
     pub(super) kind: PendingKind,
     queued_at: Millis,
-    /// Offset of the end of the call's line among all bytes ever queued on the connection.
+    /// Number of bytes that had been queued on the connection in total when the end of this call's line was
+    /// queued.
     end_offset: u64,
 }
 
@@ -59,15 +61,15 @@
 }
 
 impl UnansweredCalls {
-    /// Returns each call, oldest first, and whether its line was written completely. Only a call that was
-    /// written completely may have been executed.
+    /// Returns the kind of each call, oldest first, and whether the call's line was written completely. Only
+    /// a call that was written completely may have been executed.
     pub(super) fn into_calls(self) -> impl Iterator<Item = (PendingKind, bool)> {
         let bytes_written = self.bytes_written;
         self.pending.into_iter().map(move |call| (call.kind, call.end_offset <= bytes_written))
     }
 }
 
-/// An open connection. Calls are pipelined on it, and the service answers them in order.
+/// The state of one connection. Calls are pipelined, and the service answers them in order.
 #[derive(Default)]
 pub(super) struct Connection {
     queue: RefCell<Queue>,
@@ -94,7 +96,8 @@
     }
 
     /// Marks the connection as unresponsive if its oldest pending call has waited longer than
-    /// `unresponsive_after`, ms, or pings the connection if it is idle.
+    /// `unresponsive_after`, ms. Pings the connection if no call is pending and nothing was queued for
+    /// [`PING_INTERVAL`]; a connection on which nothing was ever queued is pinged at the first check.
     pub(super) fn check_health(&self, now: Millis, unresponsive_after: Millis) {
         let oldest = self.queue.borrow().pending.front().map(|call| call.queued_at);
         match oldest {
@@ -152,11 +155,11 @@
         self.queue.borrow().pending.is_empty()
     }
 
-    /// Removes and returns the oldest pending call, which is the one that the reply answers.
+    /// Removes and returns the oldest pending call, which the reply answers.
     ///
     /// # Errors
-    /// Returns an error if no call is pending, or if the reply does not answer a call of the oldest one's
-    /// kind; that call then stays pending.
+    /// Returns an error if no call is pending, or if the reply does not answer calls of the same kind as the
+    /// oldest pending call, which then stays pending.
     pub(super) fn match_reply(&self, reply: Reply) -> Result<PendingCall, UnmatchedReply> {
         let pending = &mut self.queue.borrow_mut().pending;
         match pending.front().copied() {
--- a/src/net/counter/connection_set.rs
+++ b/src/net/counter/connection_set.rs
@@ -1,4 +1,4 @@
-//! The connections that take calls, one per slot, and the address of the counter service.
+//! The connections that take calls, at most one per slot, and the address of the counter service.
 
 use super::connection::Connection;
 use crate::ids::{CounterKey, Millis};
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Number of connections. There are several because the service answers the calls on one connection in the
-/// order in which it receives them, so that a call to a slow shard delays the later calls on the same
-/// connection.
+/// Number of connections that take calls. There are several because the service answers the calls on one
+/// connection in the order in which it receives them, so that a call to a slow shard delays the later calls
+/// on the same connection.
 pub(super) const CONNECTION_COUNT: usize = 4;
 
 #[derive(Default)]
@@ -26,7 +26,8 @@
 }
 
 impl ConnectionSet {
-    /// Creates a set with empty slots. Without an address the slots stay empty.
+    /// Creates a set with empty slots. Without an address, the slots stay empty until
+    /// [`ConnectionSet::set_address`] sets one.
     pub(super) fn new(address: Option<SocketAddr>) -> Self {
         ConnectionSet { address: Cell::new(address), ..Self::default() }
     }
@@ -35,25 +36,29 @@
         self.address.get()
     }
 
-    /// Sets the address. If it differs from the previous one, the task of each slot is notified.
+    /// Sets the address, and notifies the task of each slot if the address has changed.
     pub(super) fn set_address(&self, address: Option<SocketAddr>) {
         if self.address.replace(address) != address {
             self.slots.iter().for_each(|slot| slot.address_changed.notify_one());
         }
     }
 
-    /// Waits until the address changes. Each slot is notified separately of a change.
-    pub(super) async fn address_changed(&self, index: usize) {
+    /// Waits until the address changes. Returns at once if the address has changed since the last wait for
+    /// the same slot.
+    pub(super) async fn wait_for_address_change(&self, index: usize) {
         self.slots[index].address_changed.notified().await;
     }
 
-    /// Selects the connection for the calls of a key. A key keeps the same connection while that is open, so
-    /// that its calls stay in order. Otherwise the next open connection takes its calls: if they failed
-    /// instead, the reset of one connection would look like a failure of the service.
+    /// Returns the connection for the calls of a key, or `None` if no responsive connection is open. A key
+    /// keeps the same connection while the connection is open and responsive, so that the key's calls stay in
+    /// order. Otherwise the next such connection takes the calls: if the calls failed instead, the reset of
+    /// one connection would look like a failure of the service.
     pub(super) fn select(&self, key: CounterKey) -> Option<Rc<Connection>> {
-        let first = (key.0 % CONNECTION_COUNT as u64) as usize;
+        let first_index = (key.0 % CONNECTION_COUNT as u64) as usize;
         (0..CONNECTION_COUNT)
-            .filter_map(|offset| self.slots[(first + offset) % CONNECTION_COUNT].connection.borrow().clone())
+            .filter_map(|offset| {
+                self.slots[(first_index + offset) % CONNECTION_COUNT].connection.borrow().clone()
+            })
             .find(|connection| !connection.is_unresponsive())
     }
 
@@ -72,7 +77,7 @@
         }
     }
 
-    /// Checks the health of each connection.
+    /// Marks the unresponsive connections and pings the idle connections among those that take calls.
     pub(super) fn check_health(&self, now: Millis, unresponsive_after: Millis) {
         for slot in &self.slots {
             if let Some(connection) = slot.connection.borrow().as_ref() {
--- a/src/net/counter/exchange.rs
+++ b/src/net/counter/exchange.rs
@@ -11,7 +11,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Size of the read buffer, bytes.
 const READ_BUFFER_BYTES: usize = 2048;
 
 /// The reason why a connection failed.
@@ -73,11 +72,11 @@
     }
 }
 
-/// Writes calls and reads replies until the connection is retired and all its calls are answered. A retired
-/// connection on which nothing is read or written for `idle_timeout` is closed.
+/// Writes calls and reads replies until the connection is retired and all its calls are answered.
 ///
 /// # Errors
-/// Returns the reason if the connection fails before that.
+/// Returns the reason if the connection fails earlier. A connection also fails if it is marked as
+/// unresponsive, or if it is retired and nothing is read or written for `idle_timeout`.
 pub(super) async fn exchange<S: EventSink>(
     mut stream: TcpStream,
     connection: &Connection,
@@ -115,12 +114,12 @@
     }
 }
 
-/// Splits the received bytes into reply lines and reports the outcomes of the calls that they answer.
+/// Splits the received bytes into reply lines and reports the outcomes of the calls that the lines answer.
 struct ReplyReader<'a, S> {
     connection: &'a Connection,
     calls: &'a OutstandingCalls,
     sink: &'a S,
-    /// The bytes received so far of an incomplete line.
+    /// The received bytes of the line that is not complete yet.
     line: Vec<u8>,
 }
 
@@ -141,9 +140,9 @@
         Ok(())
     }
 
-    /// Handles a complete line. An invalid line ends the connection, because it is unknown which call the
-    /// line answers. The oldest call stays pending, so that it is reported as possibly executed, like the
-    /// later calls that were written.
+    /// Handles a complete line. A line that is invalid or does not match the oldest pending call ends the
+    /// connection, because it is unknown which call the line answers. The oldest call stays pending, so that
+    /// it is reported as possibly executed, like the later calls that were written.
     fn handle_line(&self) -> Result<(), ExchangeError> {
         let reply = Reply::parse(&self.line)?;
         let answered = self.connection.match_reply(reply).map_err(|unmatched| match unmatched {
@@ -154,7 +153,7 @@
         Ok(())
     }
 
-    /// Reports the outcome of a call, unless the call has already timed out.
+    /// Reports the outcome of an increment, unless the increment has already timed out.
     fn report(&self, answered: PendingCall, reply: Reply) {
         let PendingKind::Increment(id) = answered.kind else { return };
         let Some(call) = self.calls.complete(id, self.sink.now()) else { return };
--- a/src/net/counter/mod.rs
+++ b/src/net/counter/mod.rs
@@ -1,9 +1,9 @@
 //! Sends calls to the counter service. The calls are lines of text, pipelined on a few persistent
 //! connections; the service replies to the calls of a connection in order.
 //!
-//! The [`CounterClient`] queues each call on the connection that its key selects. One task per connection
-//! writes the queued calls, matches the replies to the pending calls and reports the outcomes as events.
-//! Another task per connection slot reconnects with backoff.
+//! The [`CounterClient`] queues each call on a connection, which the call's key selects. One task per
+//! connection writes the queued calls, matches the replies to the pending calls and reports the outcomes as
+//! events. One task per slot of the connection set opens the connections, with a backoff after failures.
 
 mod calls;
 mod client;
--- a/src/net/counter/protocol.rs
+++ b/src/net/counter/protocol.rs
@@ -1,12 +1,12 @@
-//! The text protocol of the counter service. Each call is one line, and gets a reply of one line. Lines end
-//! in CRLF.
+//! The text protocol of the counter service. Each call is one line, and gets a reply of one line. Calls end
+//! in CRLF; a reply may also end in a line feed alone.
 //!
 //! | call | replies |
 //! | --- | --- |
 //! | `bump <key> <amount> <time to live>` | `ok <total>`, `busy`, `error ...` |
 //! | `ping` | `pong` |
 //!
-//! A key is written as 16 hexadecimal digits, the time to live as whole ms.
+//! A key is written as 16 hexadecimal digits, and the time to live in whole ms.
 
 use crate::ids::{CounterKey, Millis};
 use std::fmt;
@@ -14,17 +14,17 @@
 /// Maximum length of a reply line, bytes, without its line feed.
 pub(super) const MAX_REPLY_LINE_BYTES: usize = 256;
 
-/// The call that keeps an idle connection open.
+/// The line of the ping call, which keeps an idle connection open.
 pub(super) const PING_LINE: &[u8] = b"ping\r\n";
 
 /// A call that adds to a counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Increment {
-    /// The counter to add to.
+    /// The key of the counter to add to.
     pub key: CounterKey,
-    /// The amount to add; a negative amount is subtracted.
+    /// The amount to add, which may be negative; 0 only reads the total.
     pub amount: f64,
-    /// Time, ms, that the service keeps the counter after this call. Values below 1 are sent as 1.
+    /// Time to live of the counter if this call creates it, ms. It is sent as a whole number of at least 1.
     pub ttl: Millis,
 }
 
@@ -52,14 +52,15 @@
     /// Parses a line without its line feed.
     ///
     /// # Errors
-    /// Returns an error that contains the line if the line is not a reply of the protocol.
+    /// Returns an error if the line is not a reply of the protocol. The error contains the line, or `?` if
+    /// the line is not UTF-8.
     pub(super) fn parse(line: &[u8]) -> Result<Self, InvalidReply> {
         let text = std::str::from_utf8(line).unwrap_or("?").trim();
-        let (word, argument) = match text.split_once(' ') {
-            Some((word, argument)) => (word, Some(argument)),
+        let (keyword, argument) = match text.split_once(' ') {
+            Some((keyword, argument)) => (keyword, Some(argument)),
             None => (text, None),
         };
-        let reply = match (word, argument) {
+        let reply = match (keyword, argument) {
             ("ok", Some(total)) => parse_total(total).map(Reply::Total),
             ("busy", None) => Some(Reply::Busy),
             ("error", _) => Some(Reply::Error),
--- a/src/net/counter/reconnect.rs
+++ b/src/net/counter/reconnect.rs
@@ -1,4 +1,4 @@
-//! Keeps the connection of one slot open.
+//! Opens the connections of one slot of the connection set, one after the other.
 
 use super::calls::OutstandingCalls;
 use super::connection::{Connection, PendingKind};
@@ -12,23 +12,24 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Time limit for opening a connection.
+/// Time limit for opening a connection to the counter service.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Delay before reconnecting after the first failure. Each further failure doubles the delay, up to
 /// [`MAX_BACKOFF`]. A connection that received data and was open for longer than the initial delay is
-/// replaced without a delay, because a service that resets one connection has not failed.
+/// replaced without a delay, because the reset of one connection does not mean that the service has failed.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 /// Maximum delay before reconnecting.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Keeps the connection of one slot open.
+/// Opens the connections of one slot: whenever the connection ends or the address changes, a new one.
 pub(super) struct Reconnector<S> {
+    /// Index of the slot in the connection set.
     pub(super) index: usize,
     pub(super) connections: Rc<ConnectionSet>,
     pub(super) calls: Rc<OutstandingCalls>,
     pub(super) sink: S,
-    /// Time, ms, that a retired connection may be idle while calls are pending on it.
+    /// Time, ms, without a read or write after which a retired connection with pending calls fails.
     pub(super) unresponsive_after: Millis,
 }
 
@@ -40,19 +41,19 @@
 }
 
 impl<S: EventSink + Clone + 'static> Reconnector<S> {
-    /// Opens a connection, and opens a new one whenever the connection ends or the address changes. Runs for
-    /// the life of the process.
+    /// Opens a connection, and opens a new one whenever the connection ends or the address changes. While
+    /// there is no address, waits for one. Runs for the life of the process.
     pub(super) async fn reconnect_loop(self: Rc<Self>) {
         let mut backoff = INITIAL_BACKOFF;
         loop {
             let Some(address) = self.connections.address() else {
-                self.connections.address_changed(self.index).await;
+                self.connections.wait_for_address_change(self.index).await;
                 continue;
             };
             if let Some(stream) = connect(address).await {
                 let connected_at = Instant::now();
                 let connection = Rc::new(Connection::default());
-                let reason = self.use_connection(stream, &connection).await;
+                let reason = self.run_until_replacement_needed(stream, &connection).await;
                 let has_worked = connection.has_received() && connected_at.elapsed() > INITIAL_BACKOFF;
                 if has_worked || reason == ReconnectReason::AddressChanged {
                     backoff = INITIAL_BACKOFF;
@@ -66,10 +67,10 @@
         }
     }
 
-    /// Uses a connection until it ends or the address of the service changes. After a change of address, the
-    /// task of the connection continues: the connection takes calls until its replacement is open, and is
-    /// read until all its calls are answered.
-    async fn use_connection(
+    /// Puts an open connection into the slot, starts its task, and waits until the connection ends or the
+    /// address of the service changes. After a change of address, the task continues: the connection takes
+    /// calls until its replacement is open, and is read until all its calls are answered.
+    async fn run_until_replacement_needed(
         self: &Rc<Self>,
         stream: TcpStream,
         connection: &Rc<Connection>,
@@ -78,7 +79,7 @@
         let task = tokio::task::spawn_local(run_connection(self.clone(), stream, connection.clone()));
         tokio::select! {
             _ = task => ReconnectReason::ConnectionEnded,
-            () = self.connections.address_changed(self.index) => ReconnectReason::AddressChanged,
+            () = self.connections.wait_for_address_change(self.index) => ReconnectReason::AddressChanged,
         }
     }
 }
@@ -86,8 +87,8 @@
 async fn connect(address: SocketAddr) -> Option<TcpStream> {
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.ok()?.ok()?;
-    // Nagle's algorithm would delay a call until the previous one is acknowledged, and the service may send
-    // that acknowledgement only with its reply.
+    // Nagle's algorithm would delay a call until the bytes of the previous call are acknowledged, and the
+    // service may send the acknowledgement only with its reply.
     let _ = stream.set_nodelay(true);
     Some(stream)
 }
@@ -111,8 +112,9 @@
     }
 }
 
-/// Removes a connection from its slot when its task ends for any reason, and reports the outcomes of its
-/// pending calls. A call that was written completely may have been executed; any other was not executed.
+/// Removes a connection from its slot when its task ends for any reason, including a panic, and reports the
+/// outcomes of its pending calls. A call that was written completely may have been executed; any other call
+/// was not executed.
 struct ConnectionGuard<S: EventSink> {
     reconnector: Rc<Reconnector<S>>,
     connection: Rc<Connection>,
--- a/src/net/discovery/connect.rs
+++ b/src/net/discovery/connect.rs
@@ -6,9 +6,10 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// Opens connections to an agent. The `Display` text is sent as the value of the `Host` header.
+/// Implemented by addresses of an agent, to which connections can be opened. The `Display` text of the
+/// address is sent as the value of the `Host` header and appears in the log.
 pub trait Connect: Display {
-    /// The type of the connections.
+    /// A connection to the agent.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
 
     /// Opens a connection.
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -4,15 +4,16 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// A complete endpoint list, or the changes since an earlier one. Borrows from the JSON text.
+/// A complete endpoint list, or the changes since an earlier revision of the list. Borrows from the JSON
+/// text.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList<'a> {
-    /// The revision number of the list.
+    /// The revision number that the endpoint list has after this list is applied.
     pub revision: u64,
-    /// Whether the list holds every endpoint and not only the changed ones.
+    /// Whether the list contains every endpoint and not only the changed ones; false if it is missing.
     #[serde(default)]
     pub complete: bool,
-    /// The entries, undecoded. Each one is decoded on its own, so that an invalid entry does not make the
+    /// The entries, undecoded. Each entry is decoded separately, so that an invalid entry does not make the
     /// others unreadable.
     #[serde(borrow)]
     members: Vec<&'a RawValue>,
@@ -24,22 +25,22 @@
     /// The id of the endpoint, which is the same at every gateway.
     #[serde(borrow)]
     pub id: Cow<'a, str>,
-    /// The IP address and port at which this machine reaches the endpoint.
+    /// The IP address and port at which this machine reaches the endpoint; empty if they are missing.
     #[serde(borrow, default)]
     pub host_port: Cow<'a, str>,
-    /// The zone of the endpoint.
+    /// The name of the endpoint's zone; empty if it is missing.
     #[serde(borrow, default)]
     pub locality: Cow<'a, str>,
-    /// The cell of the endpoint.
+    /// The number of the endpoint's cell; 0 if it is missing.
     #[serde(default)]
     pub cell: u16,
     /// The state of the endpoint: `Ready`, `Terminating` or `Gone`.
     #[serde(borrow)]
     pub phase: Cow<'a, str>,
-    /// The capacity of the endpoint relative to the other endpoints.
+    /// The capacity of the endpoint relative to the other endpoints; 1 if it is missing.
     #[serde(default = "default_size")]
     pub size: f64,
-    /// The time at which the endpoint last started, Unix time in ms; 0 means long ago.
+    /// The time at which the endpoint last started, Unix time in ms; 0 means long ago and is the default.
     #[serde(default)]
     pub up_since_ms: f64,
 }
@@ -54,7 +55,7 @@
         self.members.iter().map(|entry| serde_json::from_str(entry.get()))
     }
 
-    /// Returns the list marked as complete.
+    /// Marks the list as complete, whatever the agent sent.
     pub(super) fn into_complete(self) -> Self {
         EndpointList { complete: true, ..self }
     }
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,17 +1,17 @@
-//! The errors of requests to the discovery agent and of watches.
+//! Errors of the discovery watcher.
 
 use hyper::StatusCode;
 use std::error::Error;
 use std::fmt::{Display, Formatter};
 
-/// The errors of requests to the discovery agent and of watches.
+/// The reason why a request to the discovery agent or a watch failed.
 #[derive(Debug)]
 pub enum DiscoveryError {
     /// The connection could not be opened.
     Connect(std::io::Error),
     /// The connection was not opened in time.
     ConnectTimeout,
-    /// The request could not be built with this agent's address.
+    /// The request could not be built, for example because the agent's address is not a valid `Host` header.
     InvalidRequest(hyper::http::Error),
     /// The connection failed, or the agent violated the HTTP protocol.
     Http(hyper::Error),
@@ -21,20 +21,20 @@
     UnexpectedStatus(StatusCode),
     /// The response body ended before a complete list was received, or while a watch was open.
     ResponseEnded,
-    /// No byte arrived in time while no object was incomplete.
+    /// No byte arrived in time before an object or between two objects.
     IdleTimeout,
-    /// An object began and was not completed in time.
+    /// An object began, but was not completed in time or stopped arriving.
     ObjectTimeout,
     /// A complete list was not received in time.
     ListTimeout,
     /// A byte is not valid at its position in a JSON object.
     InvalidByte {
-        /// The byte.
+        /// The invalid byte.
         byte: u8,
-        /// The position of the byte in the object, bytes.
+        /// Offset of the byte from the start of the object, bytes.
         offset: usize,
     },
-    /// An object is larger than the limit.
+    /// An incomplete object is already larger than the limit.
     ObjectTooLarge {
         /// The limit, bytes.
         max_bytes: usize,
--- a/src/net/discovery/json_framer.rs
+++ b/src/net/discovery/json_framer.rs
@@ -4,28 +4,29 @@
 use super::json_scanner::{ByteScanner, JsonScanner, ScanResult};
 
 /// Share of the memory limit that the bytes of one object may use. While a complete list is decoded, memory
-/// holds its bytes in a buffer of up to twice their size, the decoded list and the previous list: together at
-/// most four times this share. Connections may use a share of 0.6.
+/// contains a buffer of up to twice the size of the list's bytes, the decoded list and the previous list:
+/// together at most four times this share. Connections may use a share of 0.6.
 const OBJECT_MEMORY_SHARE: f64 = 1.0 / 16.0;
-/// Lower limit of [`max_object_bytes`], bytes, for memory limits that are too small for the gateway to run.
+/// Lower limit of [`max_object_bytes`], bytes. It applies to memory limits below about 17 MB, which are too
+/// small for the gateway to run.
 const MIN_OBJECT_BYTES: f64 = (1 << 20) as f64;
 /// Capacity, bytes, above which the buffer is freed when it is empty.
 const MAX_KEPT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Returns the maximum size of one object, bytes, under a memory limit in MB.
+/// Returns the maximum size of one object, bytes, for a process with a memory limit of `memory_mb` MB.
 pub fn max_object_bytes(memory_mb: f64) -> usize {
     (memory_mb * 1e6 * OBJECT_MEMORY_SHARE).max(MIN_OBJECT_BYTES) as usize
 }
 
-/// Assembles objects from the pieces of a stream, which may end anywhere, and scans each byte once. An object
-/// may span several lines. Between two objects only white space is valid, such as the empty lines of an idle
-/// watch.
+/// Assembles objects from the pieces of a stream and scans each byte once. A piece may end anywhere in an
+/// object, and an object may span several lines. Between two objects only white space is valid, such as the
+/// empty lines of an idle watch.
 pub(super) struct JsonFramer<S = JsonScanner> {
     buffer: Vec<u8>,
     /// Index in the buffer at which the incomplete object begins.
     object_start: usize,
     /// Number of bytes of the buffer that have been scanned.
-    scanned: usize,
+    scanned_bytes: usize,
     scanner: S,
     max_object_bytes: usize,
 }
@@ -39,16 +40,16 @@
 
 impl<S: ByteScanner> JsonFramer<S> {
     fn with_scanner(scanner: S, max_object_bytes: usize) -> Self {
-        JsonFramer { buffer: Vec::new(), object_start: 0, scanned: 0, scanner, max_object_bytes }
+        JsonFramer { buffer: Vec::new(), object_start: 0, scanned_bytes: 0, scanner, max_object_bytes }
     }
 
     /// Appends a piece of the stream.
     pub fn push(&mut self, piece: &[u8]) {
-        // Complete objects are removed here and not one by one, so that each byte is moved at most once, even
-        // if one piece holds many objects.
+        // All complete objects are removed together, here, so that each byte is moved at most once even if
+        // one piece contains many objects.
         if self.object_start > 0 {
             self.buffer.drain(..self.object_start);
-            self.scanned -= self.object_start;
+            self.scanned_bytes -= self.object_start;
             self.object_start = 0;
             if self.buffer.is_empty() && self.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
                 self.buffer = Vec::new();
@@ -60,16 +61,18 @@
     /// Returns the bytes of the next object, or `None` if that object is not complete yet.
     ///
     /// # Errors
-    /// Returns an error if the bytes cannot be part of an object, or if the object is larger than the limit.
+    /// Returns an error if the bytes cannot be part of an object, or if the incomplete object is already
+    /// larger than the limit. An object that exceeds the limit only with the piece that completes it is
+    /// returned.
     pub fn next_object(&mut self) -> Result<Option<&[u8]>, DiscoveryError> {
         if !self.scan_to_object_end()? {
-            if self.scanned - self.object_start > self.max_object_bytes {
+            if self.scanned_bytes - self.object_start > self.max_object_bytes {
                 return Err(DiscoveryError::ObjectTooLarge { max_bytes: self.max_object_bytes });
             }
             return Ok(None);
         }
-        let object = &self.buffer[self.object_start..self.scanned];
-        self.object_start = self.scanned;
+        let object = &self.buffer[self.object_start..self.scanned_bytes];
+        self.object_start = self.scanned_bytes;
         Ok(Some(object))
     }
 
@@ -79,11 +82,11 @@
     }
 
     fn scan_to_object_end(&mut self) -> Result<bool, DiscoveryError> {
-        while let Some(&byte) = self.buffer.get(self.scanned) {
-            let offset = self.scanned - self.object_start;
-            self.scanned += 1;
+        while let Some(&byte) = self.buffer.get(self.scanned_bytes) {
+            let offset = self.scanned_bytes - self.object_start;
+            self.scanned_bytes += 1;
             match self.scanner.scan(byte) {
-                ScanResult::BetweenObjects => self.object_start = self.scanned,
+                ScanResult::BetweenObjects => self.object_start = self.scanned_bytes,
                 ScanResult::InObject => {}
                 ScanResult::ObjectEnd => return Ok(true),
                 ScanResult::Invalid => return Err(DiscoveryError::InvalidByte { byte, offset }),
--- a/src/net/discovery/json_scanner.rs
+++ b/src/net/discovery/json_scanner.rs
@@ -41,8 +41,9 @@
     Escape,
 }
 
-/// Scans brackets and strings. A byte that cannot be part of an object is reported when it is scanned. The
-/// order of literals and separators is left to the decoder to check.
+/// Finds the end of an object by its brackets and strings. A byte that is clearly not valid at its position
+/// is reported when it is scanned. The decoder checks the rest of the syntax, such as the spelling of
+/// literals and the choice between `,` and `:`.
 #[derive(Debug, Default)]
 pub(super) struct JsonScanner {
     state: ScanState,
@@ -73,7 +74,7 @@
 }
 
 impl JsonScanner {
-    /// Scans one byte. Returns false if it is not valid at this position.
+    /// Scans one byte. Returns false if the byte is not valid at this position.
     fn scan_byte(&mut self, byte: u8) -> bool {
         match self.state {
             ScanState::Escape => {
@@ -120,9 +121,9 @@
     }
 
     fn scan_literal(&mut self, byte: u8) -> bool {
-        let is_number = matches!(byte, b'0'..=b'9' | b'+' | b'-' | b'.' | b'E' | b'e');
-        let is_keyword = matches!(byte, b't' | b'r' | b'u' | b'e' | b'f' | b'a' | b'l' | b's' | b'n');
-        if self.state == ScanState::AfterValue || !(is_number || is_keyword) {
+        let is_number_byte = matches!(byte, b'0'..=b'9' | b'+' | b'-' | b'.' | b'E' | b'e');
+        let is_keyword_byte = matches!(byte, b't' | b'r' | b'u' | b'e' | b'f' | b'a' | b'l' | b's' | b'n');
+        if self.state == ScanState::AfterValue || !(is_number_byte || is_keyword_byte) {
             return false;
         }
         self.state = ScanState::Literal;
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,8 +1,9 @@
 //! Watches the discovery agent and passes its endpoint lists to the event loop.
 //!
-//! [`WatcherHandle`] runs one watcher for the agent that the configuration names. The watcher reads a
-//! complete list once, then keeps a watch open that sends the changes, and retries after a backoff when a
-//! request or the watch fails. It passes each list to an [`EndpointSink`].
+//! [`WatcherHandle`] runs one watcher for the agent in the configuration. The watcher first reads a complete
+//! list, unless the gateway starts with a cached list. It then keeps a watch open, on which the agent sends
+//! the changes. When a request or the watch fails, the watcher retries after a backoff, and reads a complete
+//! list again if a change may have been lost. It passes each list to an [`EndpointSink`].
 
 mod connect;
 mod endpoint_list;
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -27,7 +27,8 @@
 pub(super) struct ResponseStream {
     body: Incoming,
     framer: JsonFramer,
-    /// The time at which the incomplete object began.
+    /// When the gateway began to wait for the rest of the incomplete object; `None` if no object is
+    /// incomplete.
     object_started_at: Option<Instant>,
     _connection: ConnectionTask,
 }
@@ -46,15 +47,15 @@
         request_timeout: Duration,
         max_object_bytes: usize,
     ) -> Result<Self, DiscoveryError> {
-        // If an await in this function is cancelled, the connection is closed. No other state has changed, so
-        // the request can be sent again.
+        // If an await in this function is cancelled, the connection is closed. No other state has changed by
+        // then, so the request can be sent again.
         let stream = timeout(request_timeout, agent.connect())
             .await
             .map_err(|_| DiscoveryError::ConnectTimeout)?
             .map_err(DiscoveryError::Connect)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let connection = ConnectionTask(tokio::task::spawn_local(async move {
-            // An error is not handled here, since reading the response reports it.
+            // An error is not handled here, because reading the response returns the error too.
             let _ = connection.await;
         }));
         let request = Request::get(path).header("host", agent.to_string()).body(Empty::<Bytes>::new())?;
@@ -83,8 +84,8 @@
         Ok(Some(list))
     }
 
-    /// Waits for the next piece of the body. Between two objects, the piece must arrive within
-    /// `idle_timeout`. Within an object, it must arrive within [`STALL_TIMEOUT`], and at the latest
+    /// Waits for the next piece of the body. While no object is incomplete, the piece must arrive within
+    /// `idle_timeout`. Within an object, the piece must arrive within [`STALL_TIMEOUT`], and at the latest
     /// [`OBJECT_TIMEOUT`] after the object began.
     ///
     /// # Errors
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -1,36 +1,39 @@
 //! Timeouts and backoff of the watcher.
 //!
-//! The gateway is regarded as notified of a change 6 s after discovery has the change and can be reached. If
-//! the drain grace is 1 s or less, the idle timeout of a watch, one request, the longest backoff and the time
-//! limit of one object together are shorter than that. With a longer drain grace, a request may take up to
-//! [`STALL_TIMEOUT`] to connect and as long again to receive the response head.
+//! The gateway must receive a change within 6 s after discovery has the change and can be reached: the drain
+//! grace then starts even if the gateway has not received the change. If the drain grace is 1 s or less, the
+//! idle timeout of a watch, one request, the longest backoff and the time limit of one object together are
+//! shorter than 6 s. With a longer drain grace, a request may take up to [`STALL_TIMEOUT`] to connect and as
+//! long again to receive the response head.
 
 use std::time::Duration;
 
-/// Time without further bytes after which the watcher stops reading an incomplete object. Also the upper
-/// limit of the request timeout, whatever the drain grace.
+/// Time without further bytes after which the watcher stops reading an incomplete object or a response with a
+/// complete list. Also the upper limit of the request timeout, whatever the drain grace.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time limit from the first to the last byte of an object, even if its bytes arrive steadily. Also the time
 /// limit from the response head to the end of a complete list.
 pub(super) const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without a byte after which a watch is reopened. The agent sends an empty line every 2 s on an idle
-/// watch. If the line is missing, the connection may be dead while the agent is alive, and the gateway is
-/// regarded as notified of a change that the agent holds. If discovery itself is down, reopening the watch
-/// costs nothing.
+/// watch. If the line is missing, the connection may be dead while the agent is alive: the agent may have a
+/// change that it cannot send, and the 6 s for that change have begun. If discovery itself is down, reopening
+/// the watch costs nothing.
 pub(super) const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
-/// A complete list is requested when the agent has responded to watch requests for this long without sending
-/// a byte on any watch, not even an empty line: the agent may hold changes that its watches do not send.
-/// Longer than [`WATCH_IDLE_TIMEOUT`], so that one idle watch does not cause a request for a complete list.
+/// A complete list is requested when the agent responded to a watch request at least this long ago and has
+/// not sent a byte on any watch since, not even an empty line: the agent may have changes that its watches do
+/// not send. Longer than [`WATCH_IDLE_TIMEOUT`], so that one idle watch does not cause a request for a
+/// complete list.
 pub(super) const STALE_WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Backoff after the first failure. Also the lower limit of the request timeout.
 pub(super) const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Upper limit of the backoff, whatever the drain grace.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Share of the drain grace that a request timeout takes. A recovered agent must be reached within the grace,
-/// even if a request was pending when the agent recovered; that request takes this share, and the backoff
-/// after it [`MAX_BACKOFF_SHARE`]. The agent runs on this machine, so a working agent responds at once.
+/// Ratio of the request timeout to the drain grace. A recovered agent must be reached within the grace, even
+/// if a request was pending when the agent recovered: that request takes at most this share of the grace,
+/// and the backoff after the request at most [`MAX_BACKOFF_SHARE`]. The agent runs on this machine, so a
+/// working agent responds at once.
 const REQUEST_TIMEOUT_SHARE: f64 = 0.5;
-/// Share of the drain grace that the longest backoff takes.
+/// Ratio of the longest backoff to the drain grace.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
 
 /// The timeout of requests to the agent, and the upper limit of the backoff between them.
@@ -38,12 +41,13 @@
 pub(super) struct RequestTiming {
     /// Time limit for opening the connection, and again for receiving the response head.
     pub timeout: Duration,
-    /// Upper limit of the backoff.
+    /// Upper limit of the backoff between two requests.
     pub max_backoff: Duration,
 }
 
 impl RequestTiming {
-    /// Returns the timing with which a recovered agent is reached within `drain_grace`.
+    /// Returns the timing with which a recovered agent is reached within `drain_grace`, if that is longer
+    /// than two initial backoffs.
     pub fn for_drain_grace(drain_grace: Duration) -> Self {
         let timeout = drain_grace.mul_f64(REQUEST_TIMEOUT_SHARE);
         let max_backoff = drain_grace.mul_f64(MAX_BACKOFF_SHARE);
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -20,17 +20,17 @@
     fn apply_endpoints(&self, list: &EndpointList<'_>) -> bool;
 }
 
-/// The limits that a watcher keeps to.
+/// Limits of a watcher's requests and memory.
 #[derive(Clone, Copy, Debug)]
 pub struct WatcherLimits {
-    /// Time, after the gateway is notified that an endpoint is draining, in which the endpoint may still receive
-    /// new requests. The timeouts of requests to the agent are derived from it.
+    /// Time after the gateway is notified that an endpoint is draining in which the endpoint may still
+    /// receive new requests. The request timeout and the longest backoff are derived from this time.
     pub drain_grace: Duration,
     /// Maximum size of one JSON object, bytes.
     pub max_object_bytes: usize,
 }
 
-/// Runs the watcher of the agent that the configuration names. Dropping the handle stops the watcher.
+/// Runs the watcher of the agent in the configuration. Dropping the handle stops the watcher.
 pub struct WatcherHandle<A> {
     agent: A,
     limits: WatcherLimits,
@@ -38,8 +38,8 @@
 }
 
 impl<A: Connect + Clone + PartialEq + 'static> WatcherHandle<A> {
-    /// Starts to watch `agent` for changes after `known_revision`. If that is `None`, the watcher reads a
-    /// complete list first.
+    /// Starts to watch `agent` for changes after `known_revision`. If `known_revision` is `None`, the watcher
+    /// reads a complete list first.
     pub fn start<S: EndpointSink + Clone + 'static>(
         sink: &S,
         agent: A,
@@ -48,7 +48,7 @@
     ) -> Self {
         let (sink, watched_agent) = (sink.clone(), agent.clone());
         let task = keep_running("discovery", move || {
-            EndpointWatcher::new(sink.clone(), watched_agent.clone(), known_revision, limits).run()
+            EndpointWatcher::new(sink.clone(), watched_agent.clone(), known_revision, limits).watch_forever()
         });
         WatcherHandle { agent, limits, task }
     }
@@ -77,9 +77,9 @@
     /// The revision up to which all changes are known. If it is `None`, a complete list must be read next.
     revision: Option<u64>,
     backoff: Duration,
-    /// When the agent began to respond to watch requests without sending a byte on any watch; `None` while it
-    /// does not behave like this.
-    stale_since: Option<Instant>,
+    /// When the agent first responded to a watch request after it had last sent a byte on a watch or a
+    /// complete list; `None` if it has not responded to a watch request since then.
+    silent_since: Option<Instant>,
 }
 
 impl<S: EndpointSink, A: Connect> EndpointWatcher<S, A> {
@@ -91,11 +91,11 @@
             max_object_bytes: limits.max_object_bytes,
             revision: known_revision,
             backoff: INITIAL_BACKOFF,
-            stale_since: None,
+            silent_since: None,
         }
     }
 
-    async fn run(mut self) {
+    async fn watch_forever(mut self) {
         loop {
             let Err(error) = self.watch_until_error().await;
             log::warn!(
@@ -118,25 +118,25 @@
         loop {
             self.apply_received(&mut response)?;
             // If this await is cancelled, the bytes of an incomplete list are lost with the connection. The
-            // next watch starts after the last list that was received completely.
+            // next watch starts after the revision of the last list that was received completely.
             match response.read_piece(WATCH_IDLE_TIMEOUT).await {
-                Ok(()) => self.stale_since = None,
+                Ok(()) => self.silent_since = None,
                 Err(error) => return Err(self.handle_watch_error(error)),
             }
         }
     }
 
     fn is_watch_stale(&self) -> bool {
-        self.stale_since.is_some_and(|since| since.elapsed() >= STALE_WATCH_TIMEOUT)
+        self.silent_since.is_some_and(|since| since.elapsed() >= STALE_WATCH_TIMEOUT)
     }
 
     /// Opens a watch that sends the changes after `revision`.
     async fn open_watch(&mut self, revision: u64) -> Result<ResponseStream, DiscoveryError> {
         let response = self.request(&format!("/v1/servers?follow=1&since={revision}")).await;
         // The agent has responded, but nothing has been received on the watch yet. An agent that does not
-        // respond is down, which does not make its watches stale.
+        // respond is down, which does not mean that its watches are stale.
         if matches!(response, Ok(_) | Err(DiscoveryError::UnexpectedStatus(_))) {
-            self.stale_since.get_or_insert_with(Instant::now);
+            self.silent_since.get_or_insert_with(Instant::now);
         }
         response
     }
@@ -178,7 +178,7 @@
             if let Some(list) = response.next_list()? {
                 // Entries that cannot be decoded are ignored: another request would return the same list.
                 self.apply(&list.into_complete());
-                self.stale_since = None;
+                self.silent_since = None;
                 return Ok(self.revision.unwrap_or(0));
             }
             // If this await is cancelled, the bytes received so far are lost, and the list is requested
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Passes a list to the sink. Returns false if an entry cannot be decoded.
+    /// Records the revision of a list, resets the backoff and passes the list to the sink. Returns false if
+    /// an entry cannot be decoded.
     fn apply(&mut self, list: &EndpointList<'_>) -> bool {
         self.revision = Some(list.revision);
         self.backoff = INITIAL_BACKOFF;
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -18,45 +18,45 @@
     InFrame {
         /// Number of the frame, from 0.
         frame: u64,
-        /// The reason.
+        /// The reason why the frame is invalid.
         source: Box<FrameError>,
     },
     /// An event record is invalid.
     InRecord {
         /// Number of the record in its frame, from 0.
         record: usize,
-        /// The reason.
+        /// The reason why the record is invalid.
         source: Box<FrameError>,
     },
     /// The input ended within the length field of a frame.
     TruncatedLength,
     /// The input ended within a frame.
     TruncatedFrame {
-        /// Number of bytes received.
+        /// Number of bytes of the frame that were received, with the length field.
         received: usize,
-        /// Length of the frame, bytes.
+        /// Length of the frame, bytes, with the length field.
         length: usize,
     },
     /// The length of a frame is less than the length of the frame header.
     ShorterThanHeader {
-        /// Length of the frame, bytes.
+        /// Length of the frame, bytes, with the length field.
         length: usize,
     },
     /// The frame is too short for the number of event records that its header states.
     TooManyRecords {
-        /// Number of records in the header.
+        /// Number of event records that the header states.
         count: usize,
     },
     /// A field extends past the end of its section.
     FieldOutOfBounds {
-        /// Name of the section: the header, an event record, the tail or an endpoint in it.
+        /// Name of the section: `header`, `event`, `tail` or `endpoint`.
         section: &'static str,
         /// Offset of the field in the section, bytes.
         offset: usize,
         /// Size of the field, bytes.
         size: usize,
     },
-    /// A number is infinite or NaN.
+    /// A floating-point number is infinite or NaN.
     NotFinite {
         /// Name of the section that contains the number.
         section: &'static str,
@@ -65,7 +65,7 @@
     },
     /// A list of items extends past the end of its section.
     ItemsOutOfBounds {
-        /// Name of the section.
+        /// Name of the section that should contain the items.
         section: &'static str,
         /// Number of items.
         count: u32,
--- a/src/simulator/event_decoder.rs
+++ b/src/simulator/event_decoder.rs
@@ -6,8 +6,8 @@
 use crate::event::{Endpoint, EndpointState, EndpointUpdate, Event, Outcome, Request};
 use crate::ids::{ClassId, CounterKey, PlanId, RequestId, ServerId, TenantId};
 
-/// Decodes an event for a running gateway. Returns `None` for a message from another instance, which gateways
-/// ignore.
+/// Decodes an event for a running gateway. `tail` contains the lists to which the record refers. Returns
+/// `None` for a message from another instance, because gateways ignore such messages.
 ///
 /// # Errors
 /// Returns an error if the code is unknown or a field is invalid.
--- a/src/simulator/frame.rs
+++ b/src/simulator/frame.rs
@@ -1,10 +1,10 @@
-//! Reads little-endian fields of a frame with bounds checks, and builds action records from such fields.
+//! Reads the little-endian fields of a frame with bounds checks, and writes the fields of action records.
 
 use super::error::FrameError;
 use super::layout::{record, ACTION_BYTES};
 
-/// Reads the fields of one section of a frame: the header, an event record, the tail or an endpoint in it.
-/// `section` is the name of the section in errors.
+/// Reads the fields of one section of a frame: the header, an event record, the tail or an endpoint in the
+/// tail. `section` is the name of the section in errors.
 #[derive(Clone, Copy)]
 pub(super) struct FieldReader<'a> {
     pub bytes: &'a [u8],
@@ -35,13 +35,13 @@
         self.read_array(offset).map(u64::from_le_bytes)
     }
 
-    /// Reads a 4-byte number, which must be finite.
+    /// Reads a 4-byte floating-point number, which must be finite.
     pub fn f32(&self, offset: usize) -> Result<f64, FrameError> {
         let value = self.read_array(offset).map(f32::from_le_bytes)?;
         self.require_finite(f64::from(value), offset)
     }
 
-    /// Reads an 8-byte number, which must be finite.
+    /// Reads an 8-byte floating-point number, which must be finite.
     pub fn f64(&self, offset: usize) -> Result<f64, FrameError> {
         let value = self.read_array(offset).map(f64::from_le_bytes)?;
         self.require_finite(value, offset)
@@ -68,33 +68,33 @@
     }
 }
 
-/// An action record under construction. Fields that are not set stay zero.
+/// Builds an action record. Fields that are not set stay zero.
 pub(super) struct ActionRecord([u8; ACTION_BYTES]);
 
 impl ActionRecord {
     pub fn new(code: u16, instance: u32) -> Self {
         ActionRecord([0; ACTION_BYTES])
             .write_bytes(record::CODE, &code.to_le_bytes())
-            .u32(record::INSTANCE, instance)
+            .with_u32(record::INSTANCE, instance)
     }
 
-    pub fn u8(self, offset: usize, value: u8) -> Self {
+    pub fn with_u8(self, offset: usize, value: u8) -> Self {
         self.write_bytes(offset, &[value])
     }
 
-    pub fn u32(self, offset: usize, value: u32) -> Self {
+    pub fn with_u32(self, offset: usize, value: u32) -> Self {
         self.write_bytes(offset, &value.to_le_bytes())
     }
 
-    pub fn u64(self, offset: usize, value: u64) -> Self {
+    pub fn with_u64(self, offset: usize, value: u64) -> Self {
         self.write_bytes(offset, &value.to_le_bytes())
     }
 
-    pub fn f32(self, offset: usize, value: f32) -> Self {
+    pub fn with_f32(self, offset: usize, value: f32) -> Self {
         self.write_bytes(offset, &value.to_le_bytes())
     }
 
-    pub fn f64(self, offset: usize, value: f64) -> Self {
+    pub fn with_f64(self, offset: usize, value: f64) -> Self {
         self.write_bytes(offset, &value.to_le_bytes())
     }
 
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -13,17 +13,17 @@
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 
-/// Runs the gateways of one process.
+/// The gateways that the simulator runs in this process.
 #[derive(Default)]
 pub struct GatewayHost {
     /// The running gateways by instance number.
     gateways: HashMap<u32, Gateway>,
-    /// Actions that the current event caused. The vector is reused to save an allocation per event.
+    /// The actions that the current event caused. The vector is reused to avoid an allocation per event.
     actions: Vec<Action>,
 }
 
 impl GatewayHost {
-    /// Reads frames and writes their replies until the input ends, which it may do only between two frames.
+    /// Reads frames and writes their replies until the input ends. The input may end only between two frames.
     ///
     /// # Errors
     /// Returns an error if the input violates the protocol, or if reading or writing fails.
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Handles the events of one complete frame and returns the reply.
+    /// Handles the events of one complete frame, which begins with its length field, and returns the reply.
     ///
     /// # Errors
     /// Returns an error if the frame violates the protocol.
@@ -122,7 +122,8 @@
     }
 }
 
-/// Reads one frame into `frame`. Returns false if the input ends before the first byte of the frame.
+/// Reads one frame into `frame`, with its length field. Returns false if the input ends before the first byte
+/// of the frame.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, FrameError> {
     let input_error = |source| FrameError::Io { stream: "standard input", source };
     let Some(length_bytes) = read_length(input)? else { return Ok(false) };
@@ -132,7 +133,8 @@
     }
     frame.clear();
     frame.extend_from_slice(&length_bytes);
-    // The buffer grows only as bytes arrive, so that a large length that no bytes follow allocates nothing.
+    // The buffer grows only as bytes arrive. A large length that is not followed by bytes therefore does not
+    // cause a large allocation.
     let remaining = (length - length_bytes.len()) as u64;
     input.by_ref().take(remaining).read_to_end(frame).map_err(input_error)?;
     if frame.len() != length {
--- a/src/simulator/layout.rs
+++ b/src/simulator/layout.rs
@@ -1,6 +1,7 @@
 //! Codes and byte offsets of the simulator's protocol. The constants have the names that the policy uses; a
-//! comment gives the protocol's own name where it is different. Offsets in a record are counted from the
-//! start of the record, which begins with its code.
+//! comment contains the protocol's own name where it is different. Offsets in a record are counted from the
+//! start of the record, which begins with its code. The tail of a frame is everything after the event
+//! records; offsets that a record contains are counted from the start of the tail.
 
 /// Size of a frame header, bytes.
 pub const HEADER_BYTES: usize = 16;
@@ -13,19 +14,19 @@
 /// Size of an endpoint in the tail, bytes.
 pub const ENDPOINT_BYTES: usize = 22;
 
-/// Fields of a frame header.
+/// Offsets of the fields of a frame header, which begins with the length of the frame.
 pub mod header {
     pub const RECORD_COUNT: usize = 4;
     pub const TIME: usize = 8;
 }
 
-/// Fields at the start of every event and action record.
+/// Offsets of the fields at the start of every event and action record.
 pub mod record {
     pub const CODE: usize = 0;
     pub const INSTANCE: usize = 2; // who
 }
 
-/// Fields of the event records.
+/// Codes and field offsets of the event records.
 pub mod event {
     /// `PROVISION`: an instance starts.
     pub mod instance_started {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Fields of an endpoint in the tail, which has neither a code nor an instance.
+/// Offsets of the fields of an endpoint in the tail. An endpoint has neither a code nor an instance.
 pub mod endpoint {
     pub const WEIGHT: usize = 0;
     pub const SERVER: usize = 4;
@@ -123,14 +124,14 @@
     pub const STATE: usize = 21;
 }
 
-/// The states of an endpoint.
+/// Codes of the states of an endpoint.
 pub mod endpoint_state {
     pub const REMOVED: u8 = 0; // gone
     pub const READY: u8 = 1;
     pub const DRAINING: u8 = 2;
 }
 
-/// The kinds of endpoint update.
+/// Codes of the kinds of endpoint update.
 pub mod endpoint_update {
     pub const INCREMENTAL: u8 = 0; // delta
     pub const COMPLETE: u8 = 1; // full
@@ -138,7 +139,7 @@
     pub const FAILED: u8 = 3;
 }
 
-/// The outcomes of an attempt, a health check or a counter call.
+/// Codes of the outcomes of an attempt, a health check or a counter call.
 pub mod outcome {
     pub const OK: u8 = 0;
     pub const CANCELLED: u8 = 1;
@@ -150,7 +151,7 @@
     pub const CONNECT_FAILED: u8 = 14;
 }
 
-/// Fields of the action records.
+/// Codes and field offsets of the action records.
 pub mod action {
     /// `PASS_ON`: start an attempt.
     pub mod forward {
