--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,4 +1,5 @@
-//! State of one client connection: its phase, the bytes received on it and whether it may be closed.
+//! State of one client connection: its phase, whether further requests have arrived on it, and whether it may
+//! be closed.
 
 use super::head_counter::RequestHeadCounter;
 use crate::ids::Millis;
@@ -13,16 +14,17 @@
 
 /// Longest time to receive a complete request, ms. On a new connection this includes the wait for its first
 /// bytes. The protocol requires that a client without progress is disconnected within 3 s; the timeout is
-/// shorter because the idle reaper, which enforces it, runs only at intervals.
+/// shorter because the idle reaper checks the connections only at intervals. The `request_body`
+/// module applies the same limit to reading a body.
 pub const READ_TIMEOUT: Millis = 2000.0;
-/// Longest time to write a response, ms. A client that does not read its response is disconnected after this
-/// time.
+/// Longest time to pass a response to the socket, ms. If the client reads too slowly, so that the response
+/// does not fit into the socket's send buffer in time, the connection is aborted.
 const WRITE_TIMEOUT: Millis = READ_TIMEOUT;
 /// Longest time that a connection is kept open between two requests, ms. Some clients send a single request
-/// and never close.
+/// and never close their connection.
 const IDLE_TIMEOUT: Millis = 10_000.0;
-/// Time that a new connection has for its first request during a graceful shutdown, ms; see also
-/// `CLOSE_IDLE_DELAY` of the shutdown module.
+/// A graceful shutdown does not close a connection for this time, ms, after the connection was accepted, so
+/// that its client can send the first request. See also `CLOSE_IDLE_DELAY` of the shutdown module.
 const NEW_CONNECTION_GRACE: Millis = 450.0;
 /// Longest time that a closing connection waits for its client to receive the last response and close, ms.
 ///
@@ -42,13 +44,13 @@
     Writing,
     /// The connection is between two requests.
     Idle,
-    /// Nothing more is read from or written to the connection.
+    /// The gateway has shut down sending and reads nothing more; it waits for the client to close as well.
     Closing,
 }
 
 /// Checks whether the kernel holds received bytes that have not been read.
 pub trait UnreadBytes {
-    /// Whether there are unread bytes. Each call makes a system call.
+    /// Whether at least one byte can be read now; false if the check fails. Each call makes a system call.
     fn has_unread_bytes(&self) -> bool;
 }
 
@@ -63,12 +65,13 @@
 /// connection: `listener`, `idle_reaper` and `eviction`.
 pub struct Connection {
     stream: Rc<TcpStream>,
-    unread_bytes: Rc<dyn UnreadBytes>,
+    unread_check: Rc<dyn UnreadBytes>,
     phase: Cell<Phase>,
-    phase_since: Cell<Millis>,
+    phase_start: Cell<Millis>,
     /// Whether any byte has been received on the connection.
     any_bytes_received: Cell<bool>,
-    /// Whether bytes of the next request were received before the current response was sent.
+    /// Whether bytes were read while the current request was being processed or its response was being
+    /// written. They belong to the next request.
     next_request_started: Cell<bool>,
     request_heads: Cell<RequestHeadCounter>,
     close_signal: Notify,
@@ -76,13 +79,14 @@
 }
 
 impl Connection {
-    /// Creates the state of a connection accepted at `now`; `unread_bytes` checks `stream` for unread bytes.
-    pub fn new(stream: Rc<TcpStream>, unread_bytes: Rc<dyn UnreadBytes>, now: Millis) -> Self {
+    /// Creates the state of a connection accepted at `now`, Unix ms; `unread_check` checks `stream` for
+    /// unread bytes.
+    pub fn new(stream: Rc<TcpStream>, unread_check: Rc<dyn UnreadBytes>, now: Millis) -> Self {
         Connection {
             stream,
-            unread_bytes,
+            unread_check,
             phase: Cell::new(Phase::Reading),
-            phase_since: Cell::new(now),
+            phase_start: Cell::new(now),
             any_bytes_received: Cell::new(false),
             next_request_started: Cell::new(false),
             request_heads: Cell::default(),
@@ -91,28 +95,29 @@
         }
     }
 
-    /// The connection's socket.
+    /// The connection's socket. The connection's task and its HTTP stream use the socket as well.
     pub fn stream(&self) -> &Rc<TcpStream> {
         &self.stream
     }
 
-    /// The current phase.
+    /// What the connection is doing now.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
     /// When the current phase started; Unix ms.
-    pub fn phase_since(&self) -> Millis {
-        self.phase_since.get()
+    pub fn phase_start(&self) -> Millis {
+        self.phase_start.get()
     }
 
-    /// Switches to a phase, which starts at `now`.
+    /// Sets the phase and its start time, Unix ms.
     pub fn set_phase(&self, phase: Phase, now: Millis) {
         self.phase.set(phase);
-        self.phase_since.set(now);
+        self.phase_start.set(now);
     }
 
-    /// Records bytes that were read from the socket.
+    /// Records bytes that were read from the socket. On an idle connection they start a new request, and the
+    /// connection enters [`Phase::Reading`].
     pub fn record_received_bytes(&self, bytes: &[u8], now: Millis) {
         self.any_bytes_received.set(true);
         let was_idle = self.phase() == Phase::Idle;
@@ -132,7 +137,7 @@
         self.request_heads.set(self.request_heads.get().after_request());
     }
 
-    /// Records that everything written so far has been passed to the socket.
+    /// Records that everything written so far has been passed to the socket. This ends [`Phase::Writing`].
     pub fn record_flushed(&self, now: Millis) {
         if self.phase() == Phase::Writing {
             let next = if self.next_request_started.take() { Phase::Reading } else { Phase::Idle };
@@ -142,7 +147,7 @@
 
     /// Whether the current phase has lasted longer than its timeout.
     pub fn has_timed_out(&self, now: Millis) -> bool {
-        self.phase_timeout().is_some_and(|timeout| now - self.phase_since() > timeout)
+        self.phase_timeout().is_some_and(|timeout| now - self.phase_start() > timeout)
     }
 
     fn phase_timeout(&self) -> Option<Millis> {
@@ -150,55 +155,60 @@
             Phase::Reading => Some(READ_TIMEOUT),
             Phase::Writing => Some(WRITE_TIMEOUT),
             Phase::Idle => Some(IDLE_TIMEOUT),
-            // The event loop answers each request by its deadline, and the linger time bounds a close.
+            // The event loop answers each request by its deadline, and the linger time limits how long a
+            // close takes.
             Phase::Processing | Phase::Closing => None,
         }
     }
 
-    /// Whether the socket holds unread bytes. On a busy machine the runtime may read them long after they
-    /// arrived.
+    /// Whether the socket holds unread bytes; makes a system call. On a busy machine the runtime may read
+    /// such bytes long after they arrived.
     pub fn has_unread_bytes(&self) -> bool {
-        self.unread_bytes.has_unread_bytes()
+        self.unread_check.has_unread_bytes()
     }
 
     /// Whether the connection can be closed without losing a request: no response is outstanding and no part
-    /// of a request has arrived.
+    /// of a further request has arrived. A partial request is missed if it was read together with the last
+    /// bytes of the previous request.
     pub fn may_close(&self) -> bool {
         let is_unused = self.phase() == Phase::Reading && !self.any_bytes_received.get();
         (self.phase() == Phase::Idle || is_unused) && !self.has_unread_bytes()
     }
 
-    /// Whether the connection can be closed during a graceful shutdown: [`Self::may_close`] holds and the
-    /// connection is not new.
+    /// Whether a graceful shutdown can close the connection: [`Self::may_close`] returns true and the
+    /// connection was not accepted within the last [`NEW_CONNECTION_GRACE`].
     pub fn may_close_in_shutdown(&self, now: Millis) -> bool {
-        let is_new = self.phase() == Phase::Reading && now - self.phase_since() <= NEW_CONNECTION_GRACE;
+        let is_new = self.phase() == Phase::Reading && now - self.phase_start() <= NEW_CONNECTION_GRACE;
         !is_new && self.may_close()
     }
 
-    /// Whether nothing has arrived after the request that is being processed.
-    pub fn is_last_request(&self) -> bool {
+    /// Whether no part of a further request has arrived after the request that the handler is answering. A
+    /// partial head is missed if it was read together with the last bytes of the current request.
+    pub fn has_no_further_request(&self) -> bool {
         !self.next_request_started.get()
-            && !self.request_heads.get().has_pending()
+            && !self.request_heads.get().has_pending_head()
             && !self.has_unread_bytes()
     }
 
-    /// How long a close that starts now waits for the client to receive the last response.
+    /// How long a close that starts at `now` waits for the client to receive the last response and to close
+    /// as well. On an idle connection, the time since the last response was written is subtracted; on a
+    /// connection that has received no bytes, the result is 0.
     pub fn linger_time(&self, now: Millis) -> Duration {
         let left = match self.phase() {
-            Phase::Idle => self.phase_since() + LINGER_TIMEOUT - now,
+            Phase::Idle => self.phase_start() + LINGER_TIMEOUT - now,
             _ if self.any_bytes_received.get() => LINGER_TIMEOUT,
             _ => 0.0,
         };
         Duration::from_secs_f64(left.max(0.0) / 1000.0)
     }
 
-    /// Asks the connection's task to close the connection, unless a request starts to arrive before the task
-    /// does so.
+    /// Asks the connection's task to close the connection. The task ignores the signal unless
+    /// [`Self::may_close`] still returns true when the task handles it.
     pub fn signal_close(&self) {
         self.close_signal.notify_one();
     }
 
-    /// Makes the connection's task drop the connection, regardless of what has arrived on it.
+    /// Makes the connection's task drop the connection at once, even if a request has arrived on it.
     pub fn abort(&self) {
         self.aborted.set(true);
         self.close_signal.notify_one();
@@ -209,7 +219,8 @@
         self.aborted.get()
     }
 
-    /// Waits for a call of [`Self::signal_close`] or [`Self::abort`].
+    /// Waits for a call of [`Self::signal_close`] or [`Self::abort`]. A call that nobody has waited for yet
+    /// completes the next wait immediately.
     pub fn close_signalled(&self) -> impl Future<Output = ()> + '_ {
         self.close_signal.notified()
     }
--- a/src/net/client/connection_table.rs
+++ b/src/net/client/connection_table.rs
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// All open client connections.
+/// All open client connections, including those that are closing.
 #[derive(Default)]
 pub struct ConnectionTable {
     connections: RefCell<HashMap<u64, Rc<Connection>>>,
     last_id: Cell<u64>,
-    removed: Notify,
+    removal_signal: Notify,
 }
 
 impl ConnectionTable {
@@ -25,20 +25,21 @@
         RegisteredConnection { table: self.clone(), id, connection }
     }
 
-    /// Returns the connections by id. No connection may be registered or removed while the returned
-    /// borrow is held.
+    /// Returns the connections by id; ids ascend in the order of registration. No connection may be
+    /// registered or removed while the returned borrow is held.
     pub fn entries(&self) -> Ref<'_, HashMap<u64, Rc<Connection>>> {
         self.connections.borrow()
     }
 
-    /// Number of open connections.
+    /// Number of connections in the table, including those that are closing.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Waits until a connection is removed.
+    /// Waits until a connection is removed. Completes immediately if one has been removed since the previous
+    /// wait completed.
     pub fn connection_removed(&self) -> impl Future<Output = ()> + '_ {
-        self.removed.notified()
+        self.removal_signal.notified()
     }
 }
 
@@ -50,7 +51,7 @@
 }
 
 impl RegisteredConnection {
-    /// The registered connection.
+    /// The connection that this guard keeps in the table.
     pub fn connection(&self) -> &Rc<Connection> {
         &self.connection
     }
@@ -59,6 +60,6 @@
 impl Drop for RegisteredConnection {
     fn drop(&mut self) {
         self.table.connections.borrow_mut().remove(&self.id);
-        self.table.removed.notify_one();
+        self.table.removal_signal.notify_one();
     }
 }
--- a/src/net/client/connection_task.rs
+++ b/src/net/client/connection_task.rs
@@ -13,21 +13,23 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// Size of a connection's read buffer, bytes. A request whose head is longer is rejected.
+/// Maximum size of a connection's read buffer, bytes. The HTTP parser answers a request whose head does not
+/// fit with an error.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Serves a connection until it is closed or aborted, or its client disconnects.
 ///
-/// When this function returns, it drops the connection and the request that the connection was processing.
-/// The attempts of that request are then cancelled.
+/// On return the connection is dropped, together with the request that it was processing, if any. Dropping an
+/// unanswered request reports the client's disconnect to the event loop, which makes no further attempts for
+/// the request and cancels those in flight if the settings allow it.
 pub async fn serve_connection(
     registered: RegisteredConnection,
     handler: Rc<RequestHandler>,
     event_loop: Rc<EventLoop>,
 ) {
     let connection = registered.connection().clone();
-    // A response is one small write; Nagle's algorithm would delay it until the client acknowledges earlier
-    // data.
+    // A response is usually one small write; Nagle's algorithm would delay the write until the client
+    // acknowledges earlier data.
     let _ = connection.stream().set_nodelay(true);
     let service = service_fn(|request| {
         let (handler, event_loop, connection) = (handler.clone(), event_loop.clone(), connection.clone());
@@ -51,7 +53,7 @@
                 if connection.is_aborted() {
                     return;
                 }
-                // A request may have arrived since the close was signalled.
+                // Checked again, because a request may have arrived since the close was signalled.
                 if connection.may_close() {
                     http_connection.as_mut().graceful_shutdown();
                 }
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -1,4 +1,4 @@
-//! Chooses the connection to close when the connection limit is reached and a new client wants to connect.
+//! Closes a connection when the connection limit is reached, so that the next client can be accepted.
 
 use super::connection::{Connection, Phase};
 use super::connection_table::ConnectionTable;
@@ -6,38 +6,38 @@
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-/// A connection that has waited for a complete request for longer than this, ms, counts as stalled. On a new
-/// connection this includes the wait for its first bytes.
+/// A connection is stalled if it takes longer than this, ms, to receive a request. On a new connection this
+/// time includes the wait for the first bytes; on an idle connection it starts with the first bytes.
 pub const STALL_TIMEOUT: Millis = 100.0;
 /// A closing connection is not evicted for this time, ms, so that its client can receive the last response.
 const CLOSING_GRACE: Millis = STALL_TIMEOUT;
 
-/// Eviction class of a connection; connections of a lower rank are evicted first.
+/// Rank of a connection in the order of eviction; connections of a lower rank are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// The client has sent no complete request within [`STALL_TIMEOUT`], or the connection has been closing
-    /// for longer than [`CLOSING_GRACE`].
+    /// The connection has been in [`Phase::Reading`] for longer than [`STALL_TIMEOUT`] or in
+    /// [`Phase::Closing`] for longer than [`CLOSING_GRACE`].
     Stalled,
     /// The connection is between two requests.
     Idle,
-    /// The connection has just been accepted or has just started to receive a request.
+    /// The connection was accepted, or started to receive a request, within the last [`STALL_TIMEOUT`].
     Recent,
 }
 
-/// Order of eviction: by rank; within a rank, the connection that has been in its phase for longest comes
-/// first.
+/// Position of a connection in the order of eviction: by rank, and within a rank by the time at which the
+/// connection entered its phase, earliest first.
 #[derive(Clone, Copy, Debug)]
 struct EvictionPriority {
     rank: EvictionRank,
-    phase_since: Millis,
+    phase_start: Millis,
 }
 
 impl EvictionPriority {
     /// Returns the priority of a connection, or `None` if it must not be evicted because its client may
     /// not have received its response yet.
     fn of(connection: &Connection, now: Millis) -> Option<Self> {
-        let phase_since = connection.phase_since();
-        let time_in_phase = now - phase_since;
+        let phase_start = connection.phase_start();
+        let time_in_phase = now - phase_start;
         let rank = match connection.phase() {
             Phase::Processing | Phase::Writing => return None,
             Phase::Closing if time_in_phase <= CLOSING_GRACE => return None,
@@ -46,11 +46,11 @@
             Phase::Idle => EvictionRank::Idle,
             Phase::Reading => EvictionRank::Recent,
         };
-        Some(EvictionPriority { rank, phase_since })
+        Some(EvictionPriority { rank, phase_start })
     }
 
     fn compare(&self, other: &Self) -> Ordering {
-        self.rank.cmp(&other.rank).then(self.phase_since.total_cmp(&other.phase_since))
+        self.rank.cmp(&other.rank).then(self.phase_start.total_cmp(&other.phase_start))
     }
 }
 
@@ -59,8 +59,8 @@
     connection: &'a Rc<Connection>,
 }
 
-/// Closes one connection so that a new one can be accepted. Returns false if none can be closed; the new
-/// connection then has to wait.
+/// Makes the task of one connection close it, so that a new connection can be accepted. Returns false if no
+/// connection can be closed; new connections then have to wait.
 pub fn evict_one(connections: &ConnectionTable, now: Millis) -> bool {
     let entries = connections.entries();
     let candidates = entries.values().filter(|connection| !connection.is_aborted());
@@ -70,23 +70,23 @@
         })
         .collect();
     candidates.sort_unstable_by(|a, b| a.priority.compare(&b.priority));
-    // The search stops at the first match, because each check for unread bytes is a system call and a flood
-    // of new connections runs this code for each of them.
+    // The search stops at the first match: each check for unread bytes is a system call, and in a flood of
+    // new connections this code runs for every new connection.
     let Some(evicted) = candidates.into_iter().find(|candidate| has_no_unread_request(candidate.connection))
     else {
         return false;
     };
     match evicted.priority.rank {
-        // The connection's task checks again before it closes, so that a request that has just arrived is not
-        // lost.
+        // The connection's task checks again before it closes the connection, so that a request that has just
+        // arrived is not lost.
         EvictionRank::Idle => evicted.connection.signal_close(),
         EvictionRank::Stalled | EvictionRank::Recent => evicted.connection.abort(),
     }
     true
 }
 
-/// Whether no request waits to be read. A closing connection reads no more requests; on any other connection,
-/// unread bytes may be a request that the runtime has not read yet.
+/// Whether no request is waiting to be read from the connection. A closing connection reads no more requests;
+/// on any other connection, unread bytes may be a request that the runtime has not read yet.
 fn has_no_unread_request(connection: &Connection) -> bool {
     connection.phase() == Phase::Closing || !connection.has_unread_bytes()
 }
--- a/src/net/client/head_counter.rs
+++ b/src/net/client/head_counter.rs
@@ -2,12 +2,12 @@
 
 /// Counts the ends of request heads (`CR LF CR LF`) among the bytes of a connection.
 ///
-/// If a body contains these four bytes, they are counted as a pending request until the connection is idle
-/// again. The only effect is that the connection stays open a little longer.
+/// If a body contains these four bytes, they are counted as a pending head until the first bytes arrive after
+/// the connection has become idle. The only effect is that the connection may stay open a little longer.
 #[derive(Clone, Copy, Default)]
 pub struct RequestHeadCounter {
-    /// Complete heads of requests that the handler has not received yet.
-    pending: u32,
+    /// Number of complete heads whose requests the handler has not received yet.
+    pending_heads: u32,
     /// How many of the four bytes that end a head have been received in a row.
     matched_bytes: u8,
 }
@@ -21,7 +21,7 @@
                 (_, b'\r') => 1,
                 (1, b'\n') => 2,
                 (3, b'\n') => {
-                    self.pending += 1;
+                    self.pending_heads += 1;
                     0
                 }
                 _ => 0,
@@ -32,11 +32,11 @@
 
     /// Returns the counter after the handler has received one request.
     pub fn after_request(self) -> Self {
-        RequestHeadCounter { pending: self.pending.saturating_sub(1), ..self }
+        RequestHeadCounter { pending_heads: self.pending_heads.saturating_sub(1), ..self }
     }
 
     /// Whether a complete head has arrived after the request that the handler received last.
-    pub fn has_pending(self) -> bool {
-        self.pending > 0
+    pub fn has_pending_head(self) -> bool {
+        self.pending_heads > 0
     }
 }
--- a/src/net/client/in_flight_ids.rs
+++ b/src/net/client/in_flight_ids.rs
@@ -1,4 +1,4 @@
-//! Correlation ids of the requests in flight.
+//! Ensures that no two requests in flight have the same correlation id.
 
 use super::request_error::RequestError;
 use std::cell::RefCell;
@@ -6,8 +6,8 @@
 
 /// Correlation ids of the requests in flight.
 ///
-/// A second request with an id in flight is an error: it comes from another client, and a server's response
-/// could reach the wrong one of the two.
+/// A request whose id is already in flight is answered with an error: the two requests may come from
+/// different clients, and a server's response could then reach the wrong client.
 #[derive(Default)]
 pub struct InFlightIds(RefCell<HashSet<Box<str>>>);
 
--- a/src/net/client/instrumented_stream.rs
+++ b/src/net/client/instrumented_stream.rs
@@ -1,4 +1,4 @@
-//! A stream to a client that records received bytes and completed writes in the connection's state.
+//! The byte stream between a client connection and the HTTP parser.
 
 use super::connection::{Connection, Phase};
 use crate::net::event_loop::EventLoop;
@@ -12,22 +12,29 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream to a client that records received bytes and completed writes in its [`Connection`].
+/// The byte stream of a client connection. It records received bytes, flushes and the start of the close in
+/// its [`Connection`].
 ///
-/// The socket is shared, so that the connection's task can wait for the client's disconnect independently of
-/// the HTTP parser, which reads only as far as it needs to.
+/// The socket is shared with the [`Connection`], so that the connection's task can wait for the client's
+/// disconnect independently of the HTTP parser, which reads only as far as it needs to.
 pub struct InstrumentedStream {
     stream: Rc<TcpStream>,
     connection: Rc<Connection>,
     event_loop: Rc<EventLoop>,
-    /// Completes when the socket may be closed; `Some` once sending has been shut down.
-    lingering: Option<Pin<Box<dyn Future<Output = ()>>>>,
+    /// Completes when the client has closed the connection as well or the linger time has passed. `Some` once
+    /// sending has been shut down.
+    linger_future: Option<Pin<Box<dyn Future<Output = ()>>>>,
 }
 
 impl InstrumentedStream {
     /// Creates the stream of a connection. The event loop supplies the current time.
     pub fn new(connection: Rc<Connection>, event_loop: Rc<EventLoop>) -> Self {
-        InstrumentedStream { stream: connection.stream().clone(), connection, event_loop, lingering: None }
+        InstrumentedStream {
+            stream: connection.stream().clone(),
+            connection,
+            event_loop,
+            linger_future: None,
+        }
     }
 
     fn poll_write_with(
@@ -44,15 +51,15 @@
         }
     }
 
-    /// Starts the closing phase and returns a future that waits until the client has closed the connection as
-    /// well, at most for the linger time.
-    fn linger(&self) -> Pin<Box<dyn Future<Output = ()>>> {
+    /// Enters [`Phase::Closing`] and returns a future that waits until the client has closed the connection
+    /// as well or the linger time has passed.
+    fn start_linger(&self) -> Pin<Box<dyn Future<Output = ()>>> {
         let now = self.event_loop.now();
         let stream = self.stream.clone();
         let linger_time = self.connection.linger_time(now);
         self.connection.set_phase(Phase::Closing, now);
-        // As long as the client sends no urgent data, this interest becomes ready only when the client
-        // disconnects.
+        // The socket becomes ready for this interest when the client disconnects. Urgent data has the same
+        // effect and ends the wait early.
         let closed_by_peer = async move { stream.ready(Interest::PRIORITY).await.map(drop) };
         Box::pin(async move { _ = tokio::time::timeout(linger_time, closed_by_peer).await })
     }
@@ -94,28 +101,28 @@
         true
     }
 
-    /// The stream has no write buffer of its own, so all written bytes have already been passed to the
-    /// socket.
+    /// Records the flush. The stream has no write buffer of its own, so all written bytes have already been
+    /// passed to the socket.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.connection.record_flushed(self.event_loop.now());
         Poll::Ready(Ok(()))
     }
 
     /// Shuts down sending, then waits until the client has closed the connection as well or the linger time
-    /// has passed. Requests that arrive during the wait are not read. This shows the client that they were
-    /// not processed, so it may send them to another gateway.
+    /// has passed. Requests that arrive during the wait are neither read nor executed, so the client may send
+    /// them to another gateway.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let lingering = match self.lingering.take() {
-            Some(lingering) => lingering,
+        let linger_future = match self.linger_future.take() {
+            Some(linger_future) => linger_future,
             None => {
                 // The shutdown fails if the client has reset the connection in the meantime.
                 if SockRef::from(&*self.stream).shutdown(Shutdown::Write).is_err() {
                     return Poll::Ready(Ok(()));
                 }
-                self.linger()
+                self.start_linger()
             }
         };
-        let lingering = self.lingering.insert(lingering);
-        lingering.as_mut().poll(cx).map(Ok)
+        let linger_future = self.linger_future.insert(linger_future);
+        linger_future.as_mut().poll(cx).map(Ok)
     }
 }
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept. If the process has no free file descriptors, the next accept would fail
-/// immediately and the loop would spin.
+/// Pause after a failed accept. Without the pause, the loop would spin while the process has no free file
+/// descriptors, because each accept would fail immediately.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Longest wait for an evicted connection to close before another one is evicted.
+/// Longest wait for any connection to close before the next eviction.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Accepts client connections, serves each in its own task and closes them during a shutdown.
+/// Accepts client connections, serves each in its own task and closes idle ones during a shutdown.
 pub struct ClientListener {
     event_loop: Rc<EventLoop>,
     handler: Rc<RequestHandler>,
@@ -35,7 +35,8 @@
         })
     }
 
-    /// Accepts connections until the future is dropped.
+    /// Accepts connections until the returned future is dropped. At the connection limit, new connections
+    /// wait in the accept queue of `listener` until an open connection has closed.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             self.wait_until_below_limit().await;
@@ -52,14 +53,14 @@
         }
     }
 
-    /// Waits until one more connection may be opened, and meanwhile evicts open connections that the
-    /// `eviction` module selects.
+    /// Waits until one more connection may be opened. Meanwhile, evicts open connections that the `eviction`
+    /// module selects, and tells the handler whether it is saturated because none can be evicted.
     async fn wait_until_below_limit(&self) {
         while self.connections.count() >= self.max_connections {
             let evicted = self.evict_one();
             self.handler.set_saturated(!evicted);
-            // An idle connection that was asked to close stays open if a request arrives on it in the
-            // meantime. The next iteration then evicts another one.
+            // An idle connection that was asked to close stays open if a request arrives on it first. The
+            // next iteration then evicts another connection.
             let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.connections.connection_removed()).await;
         }
         self.handler.set_saturated(false);
@@ -70,40 +71,42 @@
     }
 
     /// Registers a connection and starts its task.
-    fn spawn_connection(&self, stream: Rc<TcpStream>, unread_bytes: Rc<dyn UnreadBytes>) {
+    fn spawn_connection(&self, stream: Rc<TcpStream>, unread_check: Rc<dyn UnreadBytes>) {
         // The connection is registered here, before the next one is accepted, so that a burst of connections
         // cannot exceed the limit.
         let registered =
-            self.connections.register(Connection::new(stream, unread_bytes, self.event_loop.now()));
+            self.connections.register(Connection::new(stream, unread_check, self.event_loop.now()));
         let task = serve_connection(registered, self.handler.clone(), self.event_loop.clone());
         tokio::task::spawn_local(task);
     }
 
-    /// Closes connections that are idle for too long or make no progress, for the lifetime of the process.
+    /// Periodically closes connections that are idle for too long or make no progress; never returns.
     pub async fn run_idle_reaper(self: Rc<Self>) {
         idle_reaper::reap_periodically(&self.connections, || self.event_loop.now()).await;
     }
 
-    /// Makes later responses close their connections, so that clients move to other gateways.
+    /// Makes each later response close its connection, so that clients move to other gateways. A connection
+    /// on which a further request has arrived stays open until that request has been answered.
     pub fn start_draining(&self) {
         self.handler.start_draining();
     }
 
-    /// Asks the tasks of idle connections to close them: connections that are not new, have no outstanding
-    /// response and have received no part of a further request.
+    /// Asks the tasks of idle connections to close them. A connection is idle here if it has no outstanding
+    /// response, has received no part of a further request and has not just been accepted.
     pub fn close_idle(&self) {
         let now = self.event_loop.now();
         let entries = self.connections.entries();
-        let idle = entries.values().filter(|connection| connection.may_close_in_shutdown(now));
-        idle.for_each(|connection| connection.signal_close());
+        let idle_connections = entries.values().filter(|connection| connection.may_close_in_shutdown(now));
+        idle_connections.for_each(|connection| connection.signal_close());
     }
 
-    /// Makes the handler answer later requests with 503 at once, because no time is left to serve them.
+    /// Makes the handler answer valid requests with 503 as soon as their bodies have been read, because no
+    /// time is left to serve them.
     pub fn reject_new_requests(&self) {
         self.handler.reject_new_requests();
     }
 
-    /// Number of open connections.
+    /// Number of open connections, including those that are closing.
     pub fn connection_count(&self) -> usize {
         self.connections.count()
     }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,10 +1,10 @@
-//! Accepts client connections, reads each request completely and writes its response.
+//! Accepts client connections, reads each request completely before it is admitted, and writes the response.
 //!
 //! [`ClientListener`] accepts connections and registers each in the `connection_table`. A `connection_task`
 //! serves one connection through an `instrumented_stream`, which keeps the state in `connection` up to date.
-//! The `request_handler` validates, admits and answers each request. The `idle_reaper` closes
-//! connections that are idle for too long or make no progress. The `eviction` module closes a connection when
-//! the connection limit is reached.
+//! The `request_handler` validates each request, submits it to the event loop and returns its response. The
+//! `idle_reaper` closes connections that are idle for too long or make no progress. The `eviction` module
+//! closes a connection when the connection limit is reached.
 
 mod connection;
 mod connection_table;
--- a/src/net/client/quota_header.rs
+++ b/src/net/client/quota_header.rs
@@ -3,13 +3,13 @@
 use super::headers::parse_decimal;
 use crate::settings::Settings;
 
-/// Maximum units of one request if the settings have no maximum.
+/// Maximum units of one request if the settings give no positive maximum.
 const DEFAULT_MAX_UNITS: f64 = 1e6;
 
 /// Limits on the fields of an `X-Quota` header.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaLimits {
-    /// Maximum units of one request.
+    /// Maximum units of one request, inclusive.
     pub max_units: f64,
     /// Number of gateways in the fleet, at least 1.
     pub fleet_gateway_count: f64,
@@ -34,8 +34,9 @@
     pub gateway_count: f64,
 }
 
-/// Parses the header. Returns `None` unless each field occurs exactly once and is within the limits, and
-/// `spread` and `first` are integers. Unknown fields are skipped.
+/// Parses the value of the header. Returns `None` unless `units`, `spread` and `first` each occur exactly
+/// once and are within the limits, and `spread` and `first` are integers. Unknown fields are ignored, but a
+/// field without `=` makes the header invalid.
 pub fn parse_quota(text: &str, limits: QuotaLimits) -> Option<Quota> {
     let mut units = None;
     let mut gateway_count = None;
--- a/src/net/client/request_body.rs
+++ b/src/net/client/request_body.rs
@@ -10,10 +10,10 @@
 /// Maximum length of a request body, bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Reads a body completely. Requests are admitted or rejected only afterwards, so a rejection never reaches a
-/// client that is still sending its body.
+/// Reads a body completely. The policy admits or rejects a request only afterwards, so a rejection never
+/// reaches a client that is still sending its body.
 ///
-/// Fails if the body is too long, incomplete or not received in time.
+/// Fails if the body is longer than [`MAX_BODY_BYTES`], is incomplete or takes longer than [`READ_TIMEOUT`].
 pub async fn read_body(body: Incoming) -> Result<Bytes, RequestError> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
--- a/src/net/client/request_error.rs
+++ b/src/net/client/request_error.rs
@@ -1,52 +1,53 @@
-//! Errors for which the gateway answers a request without admitting it.
+//! The reasons why the gateway answers a request with an error before it submits the request to the policy.
 
 use hyper::StatusCode;
 use std::fmt;
 
-/// The reason why the gateway answers a request without admitting it. Each response has a status and one line
-/// of text.
+/// The reason why the gateway answers a request with an error before it submits the request to the policy.
+/// The response has the [`Self::status`] and the [`Self::response_text`] of the error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The request has a `Transfer-Encoding`.
+    /// The request has a `Transfer-Encoding` header.
     TransferEncoding,
     /// A header that may occur only once occurs more than once.
     DuplicateHeader,
-    /// A header's value is not visible ASCII.
+    /// A header's value contains characters other than visible ASCII, spaces and tabs.
     HeaderNotAscii,
-    /// The path does not start with the name of a class.
+    /// The first segment of the path is not the name of a class.
     UnknownPath,
-    /// The class in the header differs from the class in the path.
+    /// The class header is absent or differs from the class in the path.
     ClassMismatch,
-    /// The class has no settings.
+    /// The class in the path has a name but no settings.
     UnknownClass,
     /// The method is not the one that the class requires.
     MethodNotAllowed,
-    /// The class requires an idempotency key, and the request has none.
+    /// The class requires an idempotency key, and the request has none or an empty one.
     MissingIdempotencyKey,
-    /// The correlation id is absent, empty or too long.
+    /// The correlation id is absent, empty or longer than 128 bytes.
     InvalidCorrelationId,
     /// The plan is absent or unknown.
     UnknownPlan,
     /// The tenant in the query is absent, repeated or invalid.
     InvalidTenant,
-    /// The time left is absent, invalid or out of range.
+    /// The header with the time left is absent, invalid or out of range.
     InvalidTimeLeft,
     /// The quota header is absent, invalid or out of range.
     InvalidQuota,
-    /// A `GET` has a body.
+    /// A `GET` request has a body.
     UnexpectedBody,
-    /// The body is longer than allowed.
+    /// The body is longer than 64 KiB.
     BodyTooLong,
-    /// The connection was closed or lost before the body was complete.
+    /// Reading the body failed, usually because the connection was closed or lost before the body was
+    /// complete.
     IncompleteBody,
-    /// The body was not received in time.
+    /// The body was not received within the read timeout.
     BodyTimeout,
     /// Another request with this correlation id is in flight.
     CorrelationIdInFlight,
 }
 
 impl RequestError {
-    /// Status of the response.
+    /// HTTP status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::TransferEncoding => StatusCode::LENGTH_REQUIRED,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Body of the response: one line.
+    /// Body of the response: one line of text that ends in a line feed.
     pub fn response_text(self) -> &'static str {
         match self {
             RequestError::TransferEncoding => "Content-Length is wanted, and no Transfer-Encoding\n",
--- a/src/net/client/request_handler.rs
+++ b/src/net/client/request_handler.rs
@@ -23,7 +23,7 @@
     event_loop: Rc<EventLoop>,
     in_flight_ids: InFlightIds,
     draining: Cell<bool>,
-    rejecting: Cell<bool>,
+    rejecting_new_requests: Cell<bool>,
     saturated: Cell<bool>,
 }
 
@@ -34,32 +34,36 @@
             event_loop,
             in_flight_ids: InFlightIds::default(),
             draining: Cell::new(false),
-            rejecting: Cell::new(false),
+            rejecting_new_requests: Cell::new(false),
             saturated: Cell::new(false),
         }
     }
 
-    /// Makes later responses close their connections, so that clients move to other gateways.
+    /// Makes each later response close its connection, so that clients move to other gateways. A connection
+    /// on which a further request has arrived stays open until that request has been answered.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
-    /// Makes the handler answer later requests with 503 at once, because no time is left to serve them.
+    /// Makes the handler answer valid requests with 503 as soon as their bodies have been read, because no
+    /// time is left to serve them.
     pub fn reject_new_requests(&self) {
-        self.rejecting.set(true);
+        self.rejecting_new_requests.set(true);
     }
 
-    /// Sets whether new connections have to wait because the limit is reached and no open one can be evicted.
+    /// Sets whether new connections have to wait because the connection limit is reached and no open
+    /// connection can be evicted.
     pub fn set_saturated(&self, saturated: bool) {
         self.saturated.set(saturated);
     }
 
-    /// Handles one request and returns its response, which also announces whether the connection closes.
+    /// Handles one request and returns its response. The response announces the close of the connection if
+    /// the request is invalid, or if the gateway is draining or saturated and no further request has arrived.
     pub async fn handle(&self, request: Request<Incoming>, connection: &Connection) -> ClientResponse {
         let mut response = self.process(request, connection).await.unwrap_or_else(response::from_error);
-        // While saturated, keeping a connection open would block the clients that wait to connect. It is not
-        // closed while further requests have arrived on it, because they would be lost.
-        if (self.draining.get() || self.saturated.get()) && connection.is_last_request() {
+        // While the gateway is saturated, an open connection blocks the clients that wait to connect. A
+        // connection on which further requests have arrived is not closed, because they would be lost.
+        if (self.draining.get() || self.saturated.get()) && connection.has_no_further_request() {
             response::announce_close(&mut response);
         }
         response
@@ -76,13 +80,13 @@
             connection.record_received_request(self.event_loop.now());
             return Ok(response::health(self.event_loop.is_ready()));
         }
-        // The head is validated before the body is read, so that an invalid request holds no memory for a
-        // body.
+        // The head is validated before the body is read, so that no memory is used for the body of an invalid
+        // request.
         let validated = validate_head(&head, self.event_loop.names(), self.event_loop.settings())?;
-        // If the client disconnects during this await, there is nothing to withdraw: the request has not been
-        // admitted yet.
+        // If the client disconnects during this await, nothing has to be cancelled: the request has not been
+        // submitted yet.
         let body = read_body(body).await?;
-        if self.rejecting.get() {
+        if self.rejecting_new_requests.get() {
             connection.record_received_request(self.event_loop.now());
             return Ok(response::shutting_down());
         }
@@ -105,17 +109,17 @@
         Ok(response::from_answer(answer))
     }
 
-    /// Submits a request to the event loop and waits for its answer. If the client disconnects in the
-    /// meantime, the connection's task drops this future, and the guard reports the disconnect.
+    /// Submits a request to the event loop and waits for the answer. If the client disconnects first, the
+    /// connection's task drops this future, and the guard reports the disconnect to the event loop.
     async fn submit_and_wait(&self, request: IncomingRequest, connection: &Connection) -> Answer {
         let (id, receiver) = self.event_loop.submit(request);
         let disconnect_guard = DisconnectGuard::new(&self.event_loop, id);
         let answer = match receiver.await {
             Ok(answer) => answer,
-            // The event loop has noticed the disconnect first and dropped the sender. The connection's task
-            // is about to drop this future as well.
+            // The event loop noticed the disconnect before the connection's task did, and dropped the sender.
+            // The connection's task will drop this future as well.
             Err(_) if is_closed_by_peer(connection.stream()) => std::future::pending().await,
-            // A sender that is dropped for any other reason is a bug; the client still gets a response.
+            // It is a bug if the sender is dropped for any other reason; the client still gets a response.
             Err(_) => Answer::Failed,
         };
         disconnect_guard.disarm();
--- a/src/net/client/request_parser.rs
+++ b/src/net/client/request_parser.rs
@@ -1,5 +1,5 @@
-//! Validates the head of a request. The whole head is validated before the request is admitted, so that an
-//! invalid request neither reaches the policy nor changes its state for a tenant.
+//! Validates the head of a request. The whole head is validated before the request is submitted to the
+//! policy, so that an invalid request does not change the policy's state for a tenant.
 
 use super::headers::{
     parse_decimal, single_value, CLIENT_RETRY, CORRELATION_ID, IDEMPOTENCY_KEY, PLAN, QUOTA, SERVICE_CLASS,
@@ -18,26 +18,29 @@
 
 /// Exclusive upper bound of tenant ids.
 const TENANT_ID_LIMIT: u64 = 1 << 33;
-/// Length of a tenant id, hexadecimal digits.
+/// Number of hexadecimal digits of a tenant id.
 const TENANT_ID_DIGITS: usize = 16;
 /// Maximum length of a correlation id, bytes.
 const MAX_CORRELATION_ID_LENGTH: usize = 128;
-/// Maximum time left that a client may state, ms: one hour.
+/// Maximum of the time left that a client may send, ms: one hour.
 const MAX_TIME_LEFT: Millis = 3_600_000.0;
 
-/// A request whose head has been validated.
+/// The contents of a valid request head.
 pub struct ValidatedHead {
-    /// The request in the form that the policy handles.
+    /// The request for the policy. The event loop sets its id and shortens its time left by a margin.
     pub request: event::Request,
-    /// The request's correlation id.
+    /// The request's correlation id, 1 to 128 bytes long.
     pub correlation_id: Box<str>,
-    /// Headers that are forwarded to a server.
+    /// The client's headers that are forwarded to a server; all others are dropped.
     pub forwarded_headers: HeaderMap,
 }
 
-/// Fails if the framing or the host of a request is ambiguous. A `Content-Length` next to a
-/// `Transfer-Encoding` may hide a second request (request smuggling), and the HTTP parser uses only the
-/// `Transfer-Encoding`. Only `Content-Length` is therefore accepted, and at most one `Host`.
+/// Fails if a request has a `Transfer-Encoding` or more than one `Host`, or if its `Host` is not ASCII.
+///
+/// If a request has both a `Content-Length` and a `Transfer-Encoding`, its body may contain a second request
+/// (request smuggling), because the HTTP parser uses only the `Transfer-Encoding`. The length of a body must
+/// therefore be given by `Content-Length`. More than one `Host` would leave the host of the request
+/// ambiguous.
 pub fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
@@ -45,7 +48,7 @@
     single_value(headers, &HOST).map(|_| ())
 }
 
-/// Validates a head against the configured names and settings. Returns the first error found.
+/// Validates a head against the configured names and settings. Fails with the first error found.
 pub fn validate_head(
     head: &Parts,
     names: &Names,
@@ -84,7 +87,7 @@
     Ok(())
 }
 
-/// Returns the URI to send to a server: path and query, even if the client sent an absolute URI.
+/// Returns the URI to send to a server: only the path and query, even if the client sent an absolute URI.
 pub fn origin_form(uri: Uri) -> Uri {
     match (uri.scheme(), uri.path_and_query()) {
         (Some(_), Some(path)) => path.clone().into(),
@@ -130,8 +133,8 @@
     plan.map(PlanId).ok_or(RequestError::UnknownPlan)
 }
 
-/// Returns how long the client still waits, ms. The deadline of the class caps it, so that no request is kept
-/// for longer.
+/// Returns how long the client still waits, ms. The result is at most the deadline of the class, if one is
+/// set, so that no request is kept for longer.
 fn parse_time_left(headers: &HeaderMap, class: &Class) -> Result<Millis, RequestError> {
     let seconds = single_value(headers, &TIME_LEFT)?.and_then(parse_decimal);
     let time_left = seconds.map(|seconds| seconds * 1000.0);
@@ -146,13 +149,14 @@
     quota.ok_or(RequestError::InvalidQuota)
 }
 
-/// Returns the tenant in a query. It must occur exactly once and have 16 hexadecimal digits.
+/// Returns the tenant id in a query. The id must occur exactly once, have 16 hexadecimal digits and be less
+/// than [`TENANT_ID_LIMIT`].
 fn parse_tenant(query: &str) -> Option<TenantId> {
     let mut values = query.split('&').filter_map(|pair| pair.strip_prefix("customer="));
     let is_tenant_id = |v: &&str| v.len() == TENANT_ID_DIGITS && v.bytes().all(|b| b.is_ascii_hexdigit());
     let value = values.next().filter(is_tenant_id)?;
-    let number = u64::from_str_radix(value, 16).ok().filter(|number| *number < TENANT_ID_LIMIT)?;
-    values.next().is_none().then_some(TenantId(number))
+    let id = u64::from_str_radix(value, 16).ok().filter(|id| *id < TENANT_ID_LIMIT)?;
+    values.next().is_none().then_some(TenantId(id))
 }
 
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
--- a/src/net/client/response.rs
+++ b/src/net/client/response.rs
@@ -11,7 +11,7 @@
 /// A response to a client, with its body in memory.
 pub type ClientResponse = Response<Full<Bytes>>;
 
-/// Builds the response to an admitted request.
+/// Builds the response for the event loop's answer to a request.
 pub fn from_answer(answer: Answer) -> ClientResponse {
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
@@ -21,15 +21,15 @@
     }
 }
 
-/// Builds the response to an invalid request. It closes the connection, because the bytes after an invalid
-/// request need not be the start of another request.
+/// Builds the response to a request that failed with an error before it was submitted. The response closes
+/// the connection, because the bytes that follow may not be the start of another request.
 pub fn from_error(error: RequestError) -> ClientResponse {
     let mut response = plain_text(error.status(), error.response_text());
     announce_close(&mut response);
     response
 }
 
-/// Builds the response to a health check.
+/// Builds the response to a health check: 200 if the gateway is ready, otherwise 503.
 pub fn health(is_ready: bool) -> ClientResponse {
     if is_ready {
         plain_text(StatusCode::OK, "ok\n")
@@ -38,18 +38,19 @@
     }
 }
 
-/// Builds the response to a request that arrives when the shutdown leaves no time to serve it.
+/// Builds the response (503) to a valid request that arrives when the shutdown leaves no time to serve it.
 pub fn shutting_down() -> ClientResponse {
     plain_text(StatusCode::SERVICE_UNAVAILABLE, "ending\n")
 }
 
-/// Tells the client that the connection closes after this response; the HTTP server then closes it.
+/// Adds a `Connection: close` header; the HTTP library closes the connection after a response that has one.
 pub fn announce_close(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// Builds the response to a rejected request. `retry_after` is in ms; if it is 0, the response has no
-/// `Retry-After`. HTTP allows only whole seconds there, but the clients of this protocol read fractions.
+/// `Retry-After` header. HTTP allows only whole seconds in this header, but the clients of this protocol
+/// accept fractions.
 fn rejected(retry_after: Millis) -> ClientResponse {
     let mut response = plain_text(StatusCode::TOO_MANY_REQUESTS, "over the quota or too busy\n");
     if retry_after > 0.0 {
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt to send a request to a server, from obtaining a connection to reporting the result.
+//! Makes one attempt to get a response to a request from a server: obtains a connection, sends the request,
+//! receives the response and reports the result.
 
 use super::connection::Connection;
 use super::pool::ConnectionPool;
@@ -15,7 +16,7 @@
 
 /// The owner of an attempt: it provides what the attempt needs and receives the result.
 pub trait AttemptOwner: EventSink {
-    /// The pool of connections to servers.
+    /// The pool that attempts take connections from and return them to.
     fn pool(&self) -> &ConnectionPool;
 
     /// Checks whether an attempt may begin.
@@ -24,24 +25,25 @@
     /// The outcome of the attempt if it may not begin.
     fn check_may_begin(&self, id: RequestId, server: ServerId) -> Result<(), Outcome>;
 
-    /// Whether new requests may be sent to a server.
+    /// Whether new requests may be sent to a server; false, for example, for a draining server.
     fn accepts_requests(&self, server: ServerId) -> bool;
 
-    /// Receives the outcome of an attempt and, if the server sent a valid response, the response's body.
+    /// Receives the outcome of an attempt and, if the server sent a valid response of any status, the body of
+    /// that response.
     fn attempt_ended(&self, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>);
 }
 
-/// Describes an attempt to make.
+/// Parameters of an attempt.
 pub struct AttemptSpec {
-    /// ID of the client's request.
+    /// Id of the client's request.
     pub id: RequestId,
-    /// Number of the attempt within the request, starting at 0.
+    /// Number of the attempt among the attempts of the request, from 0.
     pub number: u8,
     /// The server to send the request to.
     pub server: ServerId,
     /// The server's address.
     pub address: SocketAddr,
-    /// The request to send.
+    /// The parts of the request that are the same for all its attempts.
     pub forwarded_request: Rc<ForwardedRequest>,
     /// Unix time at which the attempt times out, ms.
     pub timeout_at: Millis,
@@ -59,19 +61,21 @@
     }
 }
 
-/// Makes one attempt and reports its result. If the task is cancelled, the connection is closed.
+/// Makes one attempt and reports its result. If the task that runs this function is aborted, the attempt's
+/// connection is closed and the result is [`Outcome::Reset`].
 pub async fn run_attempt<O: AttemptOwner + Clone + 'static>(owner: O, spec: AttemptSpec) {
-    let guard = CompletionGuard { owner: owner.clone(), id: spec.id, number: spec.number, reported: false };
-    let result = run(&owner, &spec).await;
+    let guard =
+        CompletionGuard { owner: owner.clone(), id: spec.id, attempt_number: spec.number, reported: false };
+    let result = make_attempt(&owner, &spec).await;
     guard.complete(result);
 }
 
-/// Reports [`Outcome::Reset`] (the request may have been executed) if the attempt's task is dropped before
-/// its result is known.
+/// Guard that reports [`Outcome::Reset`] (the request may have been executed) if the attempt's task is
+/// dropped before the result of the attempt is known.
 struct CompletionGuard<O: AttemptOwner> {
     owner: O,
     id: RequestId,
-    number: u8,
+    attempt_number: u8,
     reported: bool,
 }
 
@@ -82,7 +86,7 @@
 
     fn report(&mut self, result: AttemptResult) {
         self.reported = true;
-        self.owner.attempt_ended(self.id, self.number, result.outcome, result.body);
+        self.owner.attempt_ended(self.id, self.attempt_number, result.outcome, result.body);
     }
 }
 
@@ -101,20 +105,22 @@
     New,
 }
 
-/// Why no response was received for a request.
+/// The reason why no response head was received for a request.
 enum SendError {
     /// The connection was closed before the request was passed to it.
     Closed,
-    /// The connection failed after the request was passed to it, but before any byte was written.
+    /// The request was passed to the connection, but no byte of it was written: the connection failed, or the
+    /// stream's check before the first byte did not allow the write.
     NothingWritten,
-    /// The connection failed after at least one byte was written, so the request may have been executed.
+    /// The connection failed after at least one byte was written, so the request may have been executed. The
+    /// outcome is that of the attempt.
     AfterFirstByte(Outcome),
 }
 
-async fn run<O: AttemptOwner + Clone + 'static>(owner: &O, spec: &AttemptSpec) -> AttemptResult {
+async fn make_attempt<O: AttemptOwner + Clone + 'static>(owner: &O, spec: &AttemptSpec) -> AttemptResult {
     loop {
-        // Checked before a connection is taken or opened, because the connection is closed if its attempt is
-        // abandoned.
+        // Checked before a connection is taken or opened, because an attempt that ends without sending its
+        // request closes the connection that it has obtained.
         if let Err(outcome) = owner.check_may_begin(spec.id, spec.server) {
             return AttemptResult::without_body(outcome);
         }
@@ -125,8 +131,8 @@
         let outcome = match send(owner, spec, &mut connection).await {
             Ok(response) => return receive(owner, spec.server, connection, response).await,
             Err(SendError::AfterFirstByte(outcome)) => outcome,
-            // Nothing was written on the pooled connection, usually because the server had closed it while it
-            // was idle. The attempt continues with another connection.
+            // Nothing was written on the pooled connection, usually because the server closed the connection
+            // while it was idle. The attempt continues with another connection.
             Err(_) if source == ConnectionSource::Pool => continue,
             Err(SendError::Closed) => Outcome::ConnectFailed,
             Err(SendError::NothingWritten) => {
@@ -157,7 +163,7 @@
     connection.sender.ready().await.map_err(|_| SendError::Closed)?;
     let (check_owner, id, server) = (owner.clone(), spec.id, spec.server);
     connection.exchange.begin(Box::new(move || check_owner.check_may_begin(id, server).is_ok()));
-    // Computed after the connection is open, because opening it may have taken much of the time.
+    // Computed after the connection is open, because opening it may have used much of the attempt's time.
     let time_left = spec.timeout_at - owner.now();
     let request = spec.forwarded_request.to_upstream(spec.address, time_left);
     let sent = connection.sender.try_send_request(request).await;
@@ -168,7 +174,8 @@
     })
 }
 
-/// Reads the response and returns the connection to the pool if it can be reused.
+/// Reads the rest of the response. Returns the connection to the pool if the server keeps it open and still
+/// accepts requests.
 async fn receive(
     owner: &impl AttemptOwner,
     server: ServerId,
--- a/src/net/upstream/closable_socket.rs
+++ b/src/net/upstream/closable_socket.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that each of its two users can close immediately.
+//! A shared TCP stream that any of its holders can close immediately.
 
 use std::cell::RefCell;
 use std::io;
@@ -9,9 +9,9 @@
 /// The TCP stream of a connection, shared by the owner of the connection (the pool or an attempt) and by the
 /// task that performs the connection's I/O.
 ///
-/// The owner closes the stream directly. The I/O task would drop the stream only when the task is next
-/// scheduled. Until then the file descriptor would stay open although the connection limit no longer counts
-/// it.
+/// The owner closes the stream directly. If the owner only aborted the I/O task, the task would drop the
+/// stream when it is next scheduled. Until then the file descriptor would stay open, although the connection
+/// limit no longer counts the connection.
 #[derive(Clone)]
 pub(super) struct ClosableSocket(Rc<RefCell<Option<TcpStream>>>);
 
@@ -20,7 +20,7 @@
         ClosableSocket(Rc::new(RefCell::new(Some(stream))))
     }
 
-    /// Performs an operation on the stream.
+    /// Performs an operation on the stream unless the socket has been closed.
     ///
     /// # Errors
     /// The error of the operation, or `NotConnected` if the socket has been closed.
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -14,10 +14,11 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Maximum size of a connection's read buffer, bytes. A response head that does not fit into it is an error.
+/// Maximum size of a connection's read buffer, bytes. A response whose head does not fit is invalid.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// An open connection. Dropping it closes the socket immediately, even if a request is in flight.
+/// An open connection to a server. Dropping the connection closes its socket immediately, even if a request
+/// is in flight.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     socket: ClosableSocket,
@@ -47,7 +48,7 @@
         let handshake = http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(io).await;
         let (sender, connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
         let io_task = tokio::task::spawn_local(async move {
-            // The result is not needed here: a request in flight receives the connection's error itself.
+            // The result is not needed here: if a request is in flight, its attempt receives the error.
             let _ = connection.await;
         });
         let io_task = io_task.abort_handle();
@@ -59,8 +60,8 @@
         self.address
     }
 
-    /// Whether the connection is known to be closed. The server may have closed it without the runtime having
-    /// noticed yet.
+    /// Whether the connection is known to be closed. If the result is false, the server may still have closed
+    /// the connection without the runtime having noticed yet.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/src/net/upstream/connection_limit.rs
+++ b/src/net/upstream/connection_limit.rs
@@ -6,16 +6,16 @@
 /// Counts open connections and compares their number with a maximum.
 pub(super) struct ConnectionLimit {
     open_connections: Rc<Cell<usize>>,
-    max: usize,
+    max_connections: usize,
 }
 
 impl ConnectionLimit {
-    pub(super) fn new(max: usize) -> Self {
-        ConnectionLimit { open_connections: Rc::default(), max }
+    pub(super) fn new(max_connections: usize) -> Self {
+        ConnectionLimit { open_connections: Rc::default(), max_connections }
     }
 
     pub(super) fn is_reached(&self) -> bool {
-        self.open_connections.get() >= self.max
+        self.open_connections.get() >= self.max_connections
     }
 
     /// Counts one more connection until the permit is dropped. The caller must have checked that the limit is
@@ -31,7 +31,7 @@
     }
 }
 
-/// A permit for one open connection. Dropping it releases the permit.
+/// A permit for one open connection. Dropping the permit lets another connection be opened.
 pub(super) struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl Drop for ConnectionPermit {
--- a/src/net/upstream/instrumented_stream.rs
+++ b/src/net/upstream/instrumented_stream.rs
@@ -1,5 +1,5 @@
-//! The byte stream of an upstream connection. It checks before the first byte of each request whether the
-//! byte may be written, and records that it has been written.
+//! The byte stream of an upstream connection. Before it writes the first byte of a request, the stream checks
+//! whether the byte may be written; afterwards it records that a byte has been written.
 
 use super::closable_socket::ClosableSocket;
 use socket2::SockRef;
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A function that returns whether the attempt may still begin.
+/// A function that returns whether the current attempt on a connection may still begin.
 type MayBeginCheck = Box<dyn Fn() -> bool>;
 
 /// State of the current request on a connection, shared by the attempt and the connection's stream.
@@ -23,19 +23,20 @@
 }
 
 impl ExchangeState {
-    /// Prepares for a new request. The stream calls `may_begin` directly before it writes the first byte.
+    /// Prepares for a new request. The stream calls `may_begin` directly before each try to write the first
+    /// byte.
     pub(super) fn begin(&self, may_begin: MayBeginCheck) {
         self.has_written.set(false);
         self.may_begin.replace(Some(may_begin));
     }
 
-    /// Drops the check when the request has received the head of its response or has failed.
+    /// Drops the check. Called when the head of the response has been received or the request has failed.
     pub(super) fn end(&self) {
         self.may_begin.replace(None);
     }
 
-    /// Whether any byte of the current request has been written. From then on the server may execute the
-    /// request: a small request is written in one piece, so its first byte counts as the whole request.
+    /// Whether any byte of the current request has been written. If so, the server may execute the request: a
+    /// small request is written in one piece, so the server may have received all of it.
     pub(super) fn has_written(&self) -> bool {
         self.has_written.get()
     }
@@ -74,7 +75,7 @@
             let reason = "the request is complete, its client has disconnected or its server is not ready";
             return Poll::Ready(Err(io::Error::new(io::ErrorKind::ConnectionAborted, reason)));
         }
-        self.socket.with(|stream| Poll::Ready(check_nothing_unread(stream)))
+        self.socket.with(|stream| Poll::Ready(check_no_unread_bytes(stream)))
     }
 
     fn record_write(&self, result: &Poll<io::Result<usize>>) {
@@ -85,7 +86,7 @@
 }
 
 /// Fails unless the connection is open and the socket's receive buffer is empty.
-fn check_nothing_unread(stream: &TcpStream) -> io::Result<()> {
+fn check_no_unread_bytes(stream: &TcpStream) -> io::Result<()> {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
         Err(error) => Err(error),
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,13 +1,13 @@
-//! The upstream side of the gateway: the connections to servers and the attempts that are sent on them.
+//! The upstream side of the gateway: the connections to servers and the attempts that use them.
 //!
 //! This module pools connections itself instead of using a pooling HTTP client. Such a client resends
-//! requests on its own and does not report whether any part of a request was written. The gateway needs to
-//! know that to decide whether it may retry the request.
+//! requests on its own and does not report whether any part of a request was written. The gateway needs this
+//! information to decide whether it may retry the request.
 //!
 //! An attempt ([`run_attempt`]) takes a connection from the [`ConnectionPool`] or opens one and sends the
-//! request on it. The connection's stream checks whether the attempt may still begin before it writes the
-//! first byte. The attempt then reads the complete response and reports exactly one result to its
-//! [`AttemptOwner`].
+//! request on it. Before the connection's stream writes the first byte, it checks whether the attempt may
+//! still begin. The attempt then reads the complete response. Whether or not it succeeds, it reports exactly
+//! one result to its [`AttemptOwner`].
 
 mod attempt;
 mod closable_socket;
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -14,11 +14,11 @@
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
 
 /// Time for which a connection is not reused after a response, ms. A server may send the same response again
-/// 1 to 3 ms later, and a request sent on the connection before that would receive the duplicate as its
-/// response.
+/// 1 to 3 ms later, and a request sent on the connection before the duplicate arrives would receive the
+/// duplicate as its response.
 const REUSE_DELAY: Millis = 20.0;
 
-/// Limits of a [`ConnectionPool`].
+/// Timeouts and limits of a [`ConnectionPool`].
 pub struct PoolSettings {
     /// Time after which the servers close an idle connection, ms.
     pub server_idle_timeout: Millis,
@@ -31,7 +31,7 @@
 /// The idle connections to all servers, and the limit on the number of open connections.
 pub struct ConnectionPool {
     /// The idle connections of each server, in the order in which they became idle.
-    idle: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
+    idle_by_server: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
     limit: ConnectionLimit,
     max_idle_time: Millis,
     connect_timeout: Duration,
@@ -46,7 +46,7 @@
     /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         ConnectionPool {
-            idle: RefCell::default(),
+            idle_by_server: RefCell::default(),
             limit: ConnectionLimit::new(settings.max_connections),
             max_idle_time: settings.server_idle_timeout * IDLE_TIMEOUT_SHARE,
             connect_timeout: Duration::from_secs_f64(settings.connect_timeout / 1000.0),
@@ -54,20 +54,22 @@
     }
 
     /// Takes the most recently used connection to a server that is still usable and has been idle for at
-    /// least [`REUSE_DELAY`].
+    /// least [`REUSE_DELAY`]. Closes the server's idle connections that are no longer usable or that were
+    /// opened to another address.
     pub(super) fn take(&self, server: ServerId, address: SocketAddr, now: Millis) -> Option<Connection> {
-        let mut idle = self.idle.borrow_mut();
-        let connections = idle.get_mut(&server)?;
+        let mut idle_by_server = self.idle_by_server.borrow_mut();
+        let connections = idle_by_server.get_mut(&server)?;
         connections.retain(|entry| entry.connection.address() == address && self.is_usable(entry, now));
         let reusable_index = connections.iter().rposition(|entry| now - entry.idle_since >= REUSE_DELAY)?;
         Some(connections.remove(reusable_index).connection)
     }
 
-    /// Returns a connection to the pool if the connection is not closed. No request may be in flight on it.
+    /// Adds a connection to the pool as idle unless it is closed. No request may be in flight on the
+    /// connection.
     pub(super) fn put(&self, server: ServerId, connection: Connection, now: Millis) {
         if !connection.is_closed() {
-            let mut idle = self.idle.borrow_mut();
-            idle.entry(server).or_default().push(IdleConnection { connection, idle_since: now });
+            let mut idle_by_server = self.idle_by_server.borrow_mut();
+            idle_by_server.entry(server).or_default().push(IdleConnection { connection, idle_since: now });
         }
     }
 
@@ -83,9 +85,9 @@
         Connection::open(address, self.connect_timeout, permit).await
     }
 
-    /// Removes the connections that have been idle too long or that the server has closed.
+    /// Closes the idle connections that have expired, and removes those that the server has closed.
     pub fn drop_expired(&self, now: Millis) {
-        self.idle.borrow_mut().retain(|_, connections| {
+        self.idle_by_server.borrow_mut().retain(|_, connections| {
             connections.retain(|entry| self.is_usable(entry, now));
             !connections.is_empty()
         });
@@ -93,7 +95,7 @@
 
     /// Closes the idle connections of all servers for which `keep` returns false.
     pub fn retain_servers(&self, keep: impl Fn(ServerId) -> bool) {
-        self.idle.borrow_mut().retain(|server, _| keep(*server));
+        self.idle_by_server.borrow_mut().retain(|server, _| keep(*server));
     }
 
     fn is_usable(&self, entry: &IdleConnection, now: Millis) -> bool {
@@ -101,7 +103,7 @@
     }
 
     /// Acquires a permit for one more connection. If the limit is reached, closes the connection that has
-    /// been idle longest; returns `None` if no connection is idle.
+    /// been idle longest, or returns `None` if no connection is idle.
     fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if self.limit.is_reached() {
             self.close_longest_idle()?;
@@ -110,8 +112,8 @@
     }
 
     fn close_longest_idle(&self) -> Option<()> {
-        let mut idle = self.idle.borrow_mut();
-        let servers = idle.values_mut().filter(|connections| !connections.is_empty());
+        let mut idle_by_server = self.idle_by_server.borrow_mut();
+        let servers = idle_by_server.values_mut().filter(|connections| !connections.is_empty());
         let connections = servers.min_by(|a, b| a[0].idle_since.total_cmp(&b[0].idle_since))?;
         connections.remove(0);
         Some(())
--- a/src/net/upstream/request.rs
+++ b/src/net/upstream/request.rs
@@ -7,25 +7,25 @@
 use hyper::{Method, Request, Uri};
 use std::net::SocketAddr;
 
-/// Header with the remaining time, in seconds, for which the gateway waits for the attempt's response. It is
-/// never longer than the client waits.
+/// Header with the time, in seconds, for which the gateway still waits for the attempt's response. This time
+/// is never longer than the time for which the client still waits.
 const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
 /// The parts of a client's request that every attempt forwards unchanged.
 pub struct ForwardedRequest {
-    /// Method of the request.
+    /// Method of the client's request, `GET` or `POST`.
     pub method: Method,
-    /// Path and query of the request.
+    /// Path and query of the client's request.
     pub uri: Uri,
-    /// Headers to forward.
+    /// The client's headers to forward; `Host` and `X-Time-Left` are set separately for each attempt.
     pub headers: HeaderMap,
-    /// Body of the request.
+    /// Complete body of the client's request; may be empty.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
     /// Builds the request that one attempt sends, with the server's address as its `Host` header and the time
-    /// that the attempt has left. `time_left` is in ms.
+    /// that the attempt has left. `time_left` is in ms; a negative value is sent as 0.
     pub(super) fn to_upstream(&self, address: SocketAddr, time_left: Millis) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a server's response.
+//! Reads a server's response and checks whether it is valid.
 
 use crate::event::Outcome;
 use bytes::Bytes;
@@ -12,19 +12,20 @@
 /// Maximum length of a response body, bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Header by which the server reports, with the value `1`, that it has not executed the request.
+/// Response header; its value `1` in a 503 or 504 response means that the server has not executed the
+/// request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 
 /// A response that has been read completely and found valid.
 pub(super) struct ReceivedResponse {
     pub(super) outcome: Outcome,
     pub(super) body: Bytes,
-    /// Whether the server keeps the connection open.
+    /// Whether the server keeps the connection open: the response has no `Connection: close`.
     pub(super) keep_alive: bool,
 }
 
-/// Reads a response completely. Only then is the response known to be valid and its connection free for
-/// another request.
+/// Reads a response completely. Only after that is the response known to be valid, and only after that can
+/// its connection be used for another request.
 ///
 /// # Errors
 /// The outcome of the attempt if the response is invalid or incomplete. The caller must then close the
@@ -43,8 +44,8 @@
 
 /// The outcome of an attempt whose request may have been executed but that received no valid response.
 ///
-/// An invalid response is `Error` and not `Reset`. Its server is reachable, and any server may occasionally
-/// send an invalid response, whereas a reset counts against the server as if it were unreachable.
+/// The outcome of an invalid response is `Error` and not `Reset`: the server is reachable, and any server may
+/// occasionally send an invalid response. After a `Reset`, the policy treats the server as unreachable.
 pub(super) fn failure_outcome(error: &(dyn Error + 'static)) -> Outcome {
     match error.downcast_ref::<hyper::Error>() {
         Some(error) if !error.is_parse() && !error.is_parse_too_large() => Outcome::Reset,
@@ -52,8 +53,8 @@
     }
 }
 
-/// Whether the response is final, its head defines the end of the body by exactly one `Content-Length` or
-/// `Transfer-Encoding` header, and the announced length is at most [`MAX_BODY_BYTES`].
+/// Whether the response is final (not 1xx), its head defines the end of the body by exactly one
+/// `Content-Length` or `Transfer-Encoding` header, and the announced length is at most [`MAX_BODY_BYTES`].
 fn has_valid_framing(head: &Parts, body: &Incoming) -> bool {
     let length_count = count_headers(&head.headers, CONTENT_LENGTH);
     let encoding_count = count_headers(&head.headers, TRANSFER_ENCODING);
--- a/tests/unit/client.rs
+++ b/tests/unit/client.rs
@@ -72,7 +72,7 @@
 }
 
 /// Sets the time at which the current phase of every connection started.
-fn set_phase_since(client_listener: &ClientListener, at: crate::ids::Millis) {
+fn set_phase_start(client_listener: &ClientListener, at: crate::ids::Millis) {
     connections(client_listener).values().for_each(|connection| connection.set_phase(connection.phase(), at));
 }
 
@@ -96,13 +96,13 @@
             );
             if slot_needed {
                 let now = client_listener.event_loop.now();
-                set_phase_since(&client_listener, now + 1000.0);
+                set_phase_start(&client_listener, now + 1000.0);
                 assert!(
                     !client_listener.evict_one(),
                     "a closing connection was evicted before its client could receive the response"
                 );
                 let now = client_listener.event_loop.now();
-                set_phase_since(&client_listener, now - STALL_TIMEOUT - 1.0);
+                set_phase_start(&client_listener, now - STALL_TIMEOUT - 1.0);
                 assert!(client_listener.evict_one());
                 // No timer may fire here: the connection has to close before its linger time ends.
                 for _ in 0..10 {
