--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -230,10 +230,10 @@
         backoff_factor.powf(1.0 - NEAR_QUOTA_BACKOFF_REDUCTION * quota_used)
     }
 
-    /// Marks the counter calls that are due now as in flight and returns them. The first call does not wait
-    /// for a full batch, because it also reads the units that other gateways have sent. At a backoff factor
-    /// above 1, the first call waits until the unsent units are a noticeable part of the tenant's quota. The
-    /// required units increase with the backoff factor.
+    /// Marks the counter calls that are due now as in flight and returns them. Until a call for this tenant
+    /// has ended, a call does not wait for a full batch, because it also reads the units that other gateways
+    /// have sent. At a backoff factor above 1, such a call waits until the unsent units reach a share of the
+    /// tenant's burst or a flush is due; this share increases with the backoff factor.
     pub(super) fn sync(&mut self, now: Millis, tenant: TenantId, backoff_factor: f64) -> SyncStatus {
         let unsent = self.forwarded.unsent() + self.not_forwarded.unsent();
         let backoff = self.tenant_backoff_factor(backoff_factor);
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -164,9 +164,9 @@
         Some((self.current_key(tenant, now).key, std::mem::take(&mut self.unsent)))
     }
 
-    /// Units to release from the reservation of a request of `units` that is not forwarded. The reservation
-    /// keeps the units for requests that are admitted without a call; their share is estimated from the
-    /// recent rejection ratio.
+    /// Units to release from the reservation of a request of `units` that is not forwarded: the request's own
+    /// units, and of the units reserved for requests that make no call, the share for requests that are
+    /// rejected. The recent rejection ratio is the estimate of this share.
     pub(super) fn units_to_release(&self, now: Millis, reservation: Reservation, units: f64) -> f64 {
         units + (reservation.units - units) * self.recent_rejection_ratio(now)
     }
