--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -85,8 +85,8 @@
     true
 }
 
-/// Whether no request is waiting to be read from the connection. A closing connection reads no more requests;
-/// on any other connection, unread bytes may be a request that the runtime has not read yet.
+/// Whether the socket holds no request that the gateway would still read. A closing connection reads no more
+/// requests; on any other connection, unread bytes may be a request that the runtime has not read yet.
 fn has_no_unread_request(connection: &Connection) -> bool {
     connection.phase() == Phase::Closing || !connection.has_unread_bytes()
 }
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -8,8 +8,9 @@
 
 use std::time::Duration;
 
-/// Time without further bytes after which the watcher stops reading an incomplete object or a response with a
-/// complete list. Also the upper limit of the request timeout, whatever the drain grace.
+/// Time without further bytes after which the watcher stops waiting for the rest of an object on a watch, or
+/// for the rest of a response to a request for a complete list. Also the upper limit of the request timeout,
+/// whatever the drain grace.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time limit from the first to the last byte of an object, even if its bytes arrive steadily. Also the time
 /// limit from the response head to the end of a complete list.
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -30,7 +30,7 @@
     pub max_object_bytes: usize,
 }
 
-/// Runs the watcher of the agent in the configuration. Dropping the handle stops the watcher.
+/// A handle to a running watcher of one discovery agent. Dropping the handle stops the watcher.
 pub struct WatcherHandle<A> {
     agent: A,
     limits: WatcherLimits,
@@ -117,8 +117,8 @@
         let mut response = self.open_watch(revision).await?;
         loop {
             self.apply_received(&mut response)?;
-            // If this await is cancelled, the bytes of an incomplete list are lost with the connection. The
-            // next watch starts after the revision of the last list that was received completely.
+            // If this await is cancelled, the bytes of a partly received list are lost with the connection.
+            // The next watch starts after the revision of the last list that was fully received.
             match response.read_piece(WATCH_IDLE_TIMEOUT).await {
                 Ok(()) => self.silent_since = None,
                 Err(error) => return Err(self.handle_watch_error(error)),
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -52,7 +52,7 @@
 
 struct Attempt {
     server: ServerId,
-    started: Millis,
+    started_at: Millis,
     in_flight: bool,
     /// The task that makes the attempt. `None` if no task has been started, or if the end of the attempt must
     /// not abort the task.
@@ -87,7 +87,7 @@
     /// number.
     pub fn start_attempt(&mut self, server: ServerId, now: Millis) -> Option<u8> {
         let number = u8::try_from(self.attempts.len()).ok();
-        self.attempts.push(Attempt { server, started: now, in_flight: true, task: None });
+        self.attempts.push(Attempt { server, started_at: now, in_flight: true, task: None });
         number
     }
 
@@ -193,7 +193,7 @@
             server: attempt.server,
             outcome,
             complete,
-            elapsed: now - attempt.started,
+            elapsed: now - attempt.started_at,
         };
         self.remove_if_finished(id.request);
         Some(event)
--- a/src/policy/endpoint_index.rs
+++ b/src/policy/endpoint_index.rs
@@ -92,10 +92,10 @@
     /// Position of the server with this key, or as `Err` the position at which to insert the server.
     fn search(&self, key: u64) -> Result<EndpointPosition, EndpointPosition> {
         let block = self.blocks.partition_point(|block| block.first_key <= key).saturating_sub(1);
-        let Some(candidate) = self.blocks.get(block) else {
+        let Some(block_for_key) = self.blocks.get(block) else {
             return Err(EndpointPosition { block, slot: 0 });
         };
-        let found = candidate.slots.binary_search_by_key(&key, |slot| slot.key);
+        let found = block_for_key.slots.binary_search_by_key(&key, |slot| slot.key);
         found.map(|slot| EndpointPosition { block, slot }).map_err(|slot| EndpointPosition { block, slot })
     }
 
