--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -45,7 +45,7 @@
 const SHORT_TERM_RATE_WINDOW: Millis = 1000.0;
 /// Lower bound of this gateway's estimated share of a tenant's units, as a fraction of an even share.
 const MIN_LOCAL_SHARE: f64 = 0.25;
-/// Minimum length, ms, of the period over which remote units are spread. Normally the period begins at the
+/// Minimum length, ms, of the time span over which remote units are spread. The span normally begins at the
 /// previous read.
 const MIN_READ_INTERVAL: Millis = 1.0;
 
@@ -117,8 +117,8 @@
 
     // ---- Counting -----------------------------------------------------------------------------
 
-    /// Drops buckets that are older than the sliding window, and refills the token bucket for `seconds` of
-    /// elapsed time.
+    /// Drops the window's buckets that begin at or before the start of the sliding window, and refills the
+    /// token bucket for `seconds` of elapsed time.
     pub(super) fn advance_to(&mut self, now: Millis, seconds: f64) {
         self.window.drop_before(now - self.quota.window());
         self.bucket_deficit = (self.bucket_deficit - seconds * self.quota.rate).max(0.0);
@@ -230,10 +230,10 @@
         backoff_factor.powf(1.0 - NEAR_QUOTA_BACKOFF_REDUCTION * quota_used)
     }
 
-    /// Marks the counter calls that are due now as in flight and returns them. Until a call for this tenant
-    /// has ended, a call does not wait for a full batch, because it also reads the units that other gateways
-    /// have sent. At a backoff factor above 1, such a call waits until the unsent units reach a share of the
-    /// tenant's burst or a flush is due; this share increases with the backoff factor.
+    /// Marks the counter calls that are due now as in flight and returns them. Until the tenant's first call
+    /// has ended, calls do not wait for a full batch, because each call also reads the units that other
+    /// gateways have sent. At a backoff factor above 1, these early calls wait until the unsent units reach a
+    /// share of the tenant's burst or a flush is due; this share increases with the backoff factor.
     pub(super) fn sync(&mut self, now: Millis, tenant: TenantId, backoff_factor: f64) -> SyncStatus {
         let unsent = self.forwarded.unsent() + self.not_forwarded.unsent();
         let backoff = self.tenant_backoff_factor(backoff_factor);
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -51,7 +51,7 @@
     // ---- Outgoing calls -----------------------------------------------------------------------
 
     /// Sends a tenant's unsent units to the counter, if calls to the counter are allowed and due. Removes the
-    /// tenant from `unsynced` if no units have to be sent later.
+    /// tenant from `unsynced_tenants` if no units have to be sent later.
     pub(super) fn sync_counter(&mut self, now: Millis, tenant_id: TenantId) {
         if !self.may_call_counter(now) {
             return;
@@ -109,7 +109,7 @@
 
     /// Releases the reservation of a request of `units` that is not forwarded. At a backoff factor above 1,
     /// only some releases, chosen at random, make a call, and each of these calls releases proportionally
-    /// more units. The capacity of the counter that this saves is better used for calls that read the usage.
+    /// more units. Fewer release calls leave more of the counter's capacity for calls that read the usage.
     /// Nothing is released while calls to the counter are paused.
     pub(super) fn release_reservation(
         &mut self,
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -85,8 +85,8 @@
     baseline_latency: Option<Millis>,
     consecutive_fast_replies: u32,
     /// Number of consecutive rejections that have raised the backoff factor, at most
-    /// [`MAX_CONSECUTIVE_REJECTIONS`]. A successful call resets the number to 0. A call that fails otherwise
-    /// and raises the factor sets the number to 1.
+    /// [`MAX_CONSECUTIVE_REJECTIONS`]. A successful call resets the number to 0. A call that fails in
+    /// another way and raises the factor sets the number to 1.
     consecutive_rejections: u32,
 }
 
--- a/src/policy/counter_sync.rs
+++ b/src/policy/counter_sync.rs
@@ -4,8 +4,8 @@
 use super::counter_key::COUNTER_KEY_PERIOD;
 use crate::ids::{CounterKey, Millis};
 
-/// A total that is lower than expected by at most this many units is no sign of a counter restart, because
-/// the simulator's protocol carries totals in single precision.
+/// A total that is lower than expected by at most this many units does not indicate a counter restart,
+/// because the simulator's protocol carries totals in single precision.
 const TOTAL_TOLERANCE: f64 = 0.01;
 
 /// A final read in flight. It reads a counter key once more after the period of the key has ended.
@@ -19,7 +19,8 @@
 /// Units that other gateways have counted since the previous read.
 pub(super) struct RemoteUnits {
     pub(super) units: f64,
-    /// Time of the previous read; before the first read, the start of the first period.
+    /// Time of the previous read. If there was no previous read, the start of the period in which the
+    /// [`CounterSync`] was created.
     pub(super) previous_read_at: Millis,
 }
 
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -35,8 +35,8 @@
 /// Smaller differences are not corrected, which saves calls.
 const MAX_TOTAL_LAG: f64 = 1.0;
 /// A total that is above the refilled units by more than this multiple of the burst is lowered to the
-/// refilled units plus this multiple of the burst. Such a total arises when two gateways raise a total at the
-/// same time.
+/// refilled units plus this multiple of the burst. Such a total arises when two gateways raise the total of
+/// one key at the same time.
 const MAX_TOTAL_LEAD: f64 = 2.0;
 /// Weight of a new admission decision in the recent rejection ratio. Only decisions that are based on the
 /// observed usage change the ratio.
@@ -44,8 +44,8 @@
 /// Time constant of the decay of the recent rejection ratio, ms. Tenants exceed their quotas for seconds to
 /// hours.
 const REJECTION_RATIO_TIME_CONSTANT: Millis = 30_000.0;
-/// Number of steps in which the key periods of different tenants are staggered. If all periods ended at the
-/// same time, the corrections of all tenants would be sent together.
+/// Number of steps in which the key periods of low-traffic tenants are staggered. If all periods ended at the
+/// same time, the corrections of all these tenants would be sent together.
 const PERIOD_STAGGER_STEPS: u64 = 64;
 
 /// A counter call in flight.
@@ -70,7 +70,7 @@
     units: f64,
 }
 
-/// The counter key that a tenant uses in the current period.
+/// A tenant's counter key for the current period, and the units refilled so far in that period.
 struct CurrentKey {
     key: CounterKey,
     /// Units that the rate has refilled since the key's period began.
@@ -114,9 +114,9 @@
     fn current_key(&self, tenant: TenantId, now: Millis) -> CurrentKey {
         let stagger =
             (tenant.0 % PERIOD_STAGGER_STEPS) as f64 / PERIOD_STAGGER_STEPS as f64 * COUNTER_KEY_PERIOD;
-        let shifted = now + stagger;
-        let key = counter_key(tenant, Disposition::Forwarded, period_at(shifted));
-        let refilled = self.quota.rate * shifted.rem_euclid(COUNTER_KEY_PERIOD) / 1000.0;
+        let shifted_now = now + stagger;
+        let key = counter_key(tenant, Disposition::Forwarded, period_at(shifted_now));
+        let refilled = self.quota.rate * shifted_now.rem_euclid(COUNTER_KEY_PERIOD) / 1000.0;
         CurrentKey { key, refilled }
     }
 
@@ -165,8 +165,8 @@
     }
 
     /// Units to release from the reservation of a request of `units` that is not forwarded: the request's own
-    /// units, and of the units reserved for requests that make no call, the share for requests that are
-    /// rejected. The recent rejection ratio is the estimate of this share.
+    /// units, plus a share of the units reserved for requests that make no call. The share is the recent
+    /// rejection ratio, which estimates how many of those requests are rejected.
     pub(super) fn units_to_release(&self, now: Millis, reservation: Reservation, units: f64) -> f64 {
         units + (reservation.units - units) * self.recent_rejection_ratio(now)
     }
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -8,7 +8,7 @@
 /// of the lowest value are rejected early.
 const MAX_QUEUE_SHARE: f64 = 0.5;
 /// Factor by which the value of a request is multiplied when the request arrives. The factor decreases
-/// linearly with the waiting time and is lower by 1 when the request reaches its latency objective.
+/// linearly with the waiting time and is lower by 1 at the request's `objective_at`.
 const INITIAL_VALUE_FACTOR: f64 = 1.2;
 
 /// A queued request and its value, by which the queue is ordered.
@@ -42,19 +42,19 @@
     /// Empties the queue and returns its requests in descending order of value. Rejects requests that can no
     /// longer meet their latency objective.
     fn drain_queue_by_value(&mut self, now: Millis) -> Vec<QueuedRequest> {
-        let mut order = Vec::new();
+        let mut queued_requests = Vec::new();
         for id in std::mem::take(&mut self.queue) {
             if !self.requests.contains_key(&id) {
                 continue;
             }
             if self.can_meet_objective(now, id) {
-                order.extend(self.request_value(now, id).map(|value| QueuedRequest { id, value }));
+                queued_requests.extend(self.request_value(now, id).map(|value| QueuedRequest { id, value }));
             } else {
                 self.reject_or_fail(now, id);
             }
         }
-        order.sort_by(|a, b| b.value.total_cmp(&a.value).then(b.id.cmp(&a.id)));
-        order
+        queued_requests.sort_by(|a, b| b.value.total_cmp(&a.value).then(b.id.cmp(&a.id)));
+        queued_requests
     }
 
     /// Value of a request per millisecond of service time. Of otherwise equal requests the newer one has the
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -36,7 +36,7 @@
 /// State of the quota check of a low-traffic tenant's request.
 #[derive(Default)]
 pub(super) struct QuotaCheck {
-    /// The counter has not yet replied to the request's reservation.
+    /// Whether the counter call that makes the request's reservation is still in flight.
     pub(super) awaiting_counter: bool,
     /// The quota has admitted the request; the check is not repeated.
     pub(super) admitted: bool,
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -11,9 +11,9 @@
 
 /// Minimum time, ms, that a tenant has to be idle before it is evicted. The idle time must also be long
 /// enough for the tenant's buckets to refill, and no attempt or counter call of the tenant may be in flight.
-/// The minimum is at least the period of a counter key, so that a tenant that returns after its eviction does
-/// not read the old units of the same key again. A much longer time would keep every tenant that sends a
-/// single request in memory.
+/// The minimum is the period of a counter key, so that a tenant that returns after its eviction uses a new
+/// key and does not read the units on its old key again. A much longer time would keep every tenant that
+/// sends a single request in memory.
 const EVICT_IDLE_AFTER: Millis = COUNTER_KEY_PERIOD;
 /// A tenant with a quota but no ceiling is a low-traffic tenant if one gateway's part of the burst is below
 /// this factor times the units of the largest request. The gateway then receives too few of the tenant's
