--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -281,7 +281,7 @@
         }
         if counter_sync.period() != period {
             let old_key = counter_key(tenant, disposition, counter_sync.period());
-            if final_read_allowed && !counter_sync.has_final_read() {
+            if final_read_allowed && !counter_sync.has_pending_final_read() {
                 counter_sync.begin_final_read(old_key);
                 calls.push(DueCall { key: old_key, disposition, add: 0.0 });
             }
@@ -329,12 +329,12 @@
         if units <= 0.0 {
             return;
         }
-        let from = remote.previous_read_at.min(now - MIN_READ_INTERVAL);
-        let start = from.max(now - self.quota.window());
-        units *= (now - start) / (now - from);
-        let slice_count = ((now - start) / BUCKET_WIDTH).ceil().max(1.0);
+        let span_start = remote.previous_read_at.min(now - MIN_READ_INTERVAL);
+        let start_in_window = span_start.max(now - self.quota.window());
+        units *= (now - start_in_window) / (now - span_start);
+        let slice_count = ((now - start_in_window) / BUCKET_WIDTH).ceil().max(1.0);
         for slice in 0..slice_count as i64 {
-            let at = now - (slice as f64 + 0.5) * (now - start) / slice_count;
+            let at = now - (slice as f64 + 0.5) * (now - start_in_window) / slice_count;
             self.count_units(disposition, at, units / slice_count);
         }
     }
--- a/src/policy/counter_sync.rs
+++ b/src/policy/counter_sync.rs
@@ -73,6 +73,7 @@
         self.read_at
     }
 
+    /// Whether a call other than a final read is in flight.
     pub(super) fn is_awaiting_reply(&self) -> bool {
         self.units_in_flight.is_some()
     }
@@ -81,7 +82,7 @@
         self.units_in_flight.is_some() || self.final_read.is_some()
     }
 
-    pub(super) fn has_final_read(&self) -> bool {
+    pub(super) fn has_pending_final_read(&self) -> bool {
         self.final_read.is_some()
     }
 
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -55,7 +55,8 @@
     reserved_for: Option<RequestId>,
 }
 
-/// Share of rejected requests, 0 to 1, at the time of the last update; it decays exponentially.
+/// Recent rejection ratio, 0 to 1, at the time of its last update. The exponential decay since then is
+/// applied when the ratio is read.
 #[derive(Clone, Copy)]
 struct RejectionRatio {
     updated_at: Millis,
@@ -90,7 +91,7 @@
     quota: Quota,
     has_ceiling: bool,
     pending_calls: VecDeque<PendingCall>,
-    recent_rejections: Option<RejectionRatio>,
+    last_rejection_ratio: Option<RejectionRatio>,
     cached_usage: Option<CachedUsage>,
     /// Units that were forwarded on the basis of a cached read and have not been sent to the counter.
     unsent: f64,
@@ -102,7 +103,7 @@
             quota,
             has_ceiling,
             pending_calls: VecDeque::new(),
-            recent_rejections: None,
+            last_rejection_ratio: None,
             cached_usage: None,
             unsent: 0.0,
         }
@@ -233,7 +234,7 @@
     /// Share of rejections among the tenant's recent decisions that were based on the observed usage, 0 to 1.
     /// The share decays with time and is 0 before the first such decision.
     fn recent_rejection_ratio(&self, now: Millis) -> f64 {
-        self.recent_rejections.map_or(0.0, |recent| {
+        self.last_rejection_ratio.map_or(0.0, |recent| {
             recent.ratio * (-(now - recent.updated_at) / REJECTION_RATIO_TIME_CONSTANT).exp()
         })
     }
@@ -242,7 +243,7 @@
         let before = self.recent_rejection_ratio(now);
         let sample = if admitted { 0.0 } else { 1.0 };
         let ratio = before + REJECTION_RATIO_GAIN * (sample - before);
-        self.recent_rejections = Some(RejectionRatio { updated_at: now, ratio });
+        self.last_rejection_ratio = Some(RejectionRatio { updated_at: now, ratio });
     }
 
     /// Adds the units of a forwarded request to the cached usage, if the request was admitted on the basis of
