--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -23,8 +23,9 @@
 /// Longest time that a connection is kept open between two requests, ms. Some clients send a single request
 /// and never close their connection.
 const IDLE_TIMEOUT: Millis = 10_000.0;
-/// A graceful shutdown does not close a connection for this time, ms, after the connection was accepted, so
-/// that its client can send the first request. See also `CLOSE_IDLE_DELAY` of the shutdown module.
+/// Time, ms, after a connection was accepted during which a graceful shutdown does not close the connection
+/// while it waits for its first request, so that its client can send the request. See also `CLOSE_IDLE_DELAY`
+/// of the shutdown module.
 const NEW_CONNECTION_GRACE: Millis = 450.0;
 /// Longest time that a closing connection waits for its client to receive the last response and close, ms.
 ///
@@ -137,7 +138,9 @@
         self.request_heads.set(self.request_heads.get().after_request());
     }
 
-    /// Records that everything written so far has been passed to the socket. This ends [`Phase::Writing`].
+    /// Records that everything written so far has been passed to the socket. If the phase is
+    /// [`Phase::Writing`], the connection enters [`Phase::Reading`] if bytes of the next request have been
+    /// read, and [`Phase::Idle`] otherwise.
     pub fn record_flushed(&self, now: Millis) {
         if self.phase() == Phase::Writing {
             let next = if self.next_request_started.take() { Phase::Reading } else { Phase::Idle };
@@ -175,8 +178,8 @@
         (self.phase() == Phase::Idle || is_unused) && !self.has_unread_bytes()
     }
 
-    /// Whether a graceful shutdown can close the connection: [`Self::may_close`] returns true and the
-    /// connection was not accepted within the last [`NEW_CONNECTION_GRACE`].
+    /// Whether a graceful shutdown can close the connection: [`Self::may_close`] returns true, and the
+    /// connection has served a request or was accepted more than [`NEW_CONNECTION_GRACE`] ago.
     pub fn may_close_in_shutdown(&self, now: Millis) -> bool {
         let is_new = self.phase() == Phase::Reading && now - self.phase_start() <= NEW_CONNECTION_GRACE;
         !is_new && self.may_close()
@@ -219,8 +222,8 @@
         self.aborted.get()
     }
 
-    /// Waits for a call of [`Self::signal_close`] or [`Self::abort`]. A call that nobody has waited for yet
-    /// completes the next wait immediately.
+    /// Waits until [`Self::signal_close`] or [`Self::abort`] is called. Completes immediately if either has
+    /// been called since the previous wait completed.
     pub fn close_signalled(&self) -> impl Future<Output = ()> + '_ {
         self.close_signal.notified()
     }
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -8,8 +8,10 @@
 
 /// A connection is stalled if it takes longer than this, ms, to receive a request. On a new connection this
 /// time includes the wait for the first bytes; on an idle connection it starts with the first bytes.
+/// If the first bytes were read before the previous response was written, it starts when that response has
+/// been written.
 pub const STALL_TIMEOUT: Millis = 100.0;
-/// A closing connection is not evicted for this time, ms, so that its client can receive the last response.
+/// Time, ms, for which a closing connection is not evicted, so that its client can receive the last response.
 const CLOSING_GRACE: Millis = STALL_TIMEOUT;
 
 /// Rank of a connection in the order of eviction; connections of a lower rank are evicted first.
--- a/src/net/client/headers.rs
+++ b/src/net/client/headers.rs
@@ -11,8 +11,8 @@
 pub const PLAN: HeaderName = HeaderName::from_static("x-plan");
 /// Header with the time for which the client still waits, decimal seconds.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
-/// Header with the units of the request, and the number and the first of the gateways that receive its
-/// tenant's requests.
+/// Header with the units that the request consumes, the number of gateways that receive its tenant's
+/// requests, and the index of the first of these gateways.
 pub const QUOTA: HeaderName = HeaderName::from_static("x-quota");
 /// Header by which a client marks a request as a retry. The gateway does not use its value.
 pub const CLIENT_RETRY: HeaderName = HeaderName::from_static("x-repeat");
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Waits until one more connection may be opened. Meanwhile, evicts open connections that the `eviction`
-    /// module selects, and tells the handler whether it is saturated because none can be evicted.
+    /// Waits until the number of open connections is below the limit. Meanwhile, evicts connections that the
+    /// `eviction` module selects, and sets the handler's saturated flag while no connection can be evicted.
     async fn wait_until_below_limit(&self) {
         while self.connections.count() >= self.max_connections {
             let evicted = self.evict_one();
@@ -92,7 +92,8 @@
     }
 
     /// Asks the tasks of idle connections to close them. A connection is idle here if it has no outstanding
-    /// response, has received no part of a further request and has not just been accepted.
+    /// response and no part of a further request has arrived on it. A connection that was accepted recently
+    /// and still waits for its first request is not closed.
     pub fn close_idle(&self) {
         let now = self.event_loop.now();
         let entries = self.connections.entries();
@@ -100,8 +101,8 @@
         idle_connections.for_each(|connection| connection.signal_close());
     }
 
-    /// Makes the handler answer valid requests with 503 as soon as their bodies have been read, because no
-    /// time is left to serve them.
+    /// Makes the handler answer each request that has a valid head with 503 as soon as its body has been
+    /// read, because no time is left to serve the request.
     pub fn reject_new_requests(&self) {
         self.handler.reject_new_requests();
     }
--- a/src/net/client/request_handler.rs
+++ b/src/net/client/request_handler.rs
@@ -1,4 +1,5 @@
-//! Handles each request: validates its head, reads its body, admits it and responds.
+//! Handles each request: validates its head, reads its body, submits it to the event loop and returns the
+//! response.
 
 use super::connection::Connection;
 use super::disconnect::DisconnectGuard;
@@ -45,8 +46,8 @@
         self.draining.set(true);
     }
 
-    /// Makes the handler answer valid requests with 503 as soon as their bodies have been read, because no
-    /// time is left to serve them.
+    /// Makes the handler answer each request that has a valid head with 503 as soon as its body has been
+    /// read, because no time is left to serve the request.
     pub fn reject_new_requests(&self) {
         self.rejecting_new_requests.set(true);
     }
@@ -91,7 +92,7 @@
             return Ok(response::shutting_down());
         }
         check_body(&head.method, &body)?;
-        let _in_flight_id = self.in_flight_ids.reserve(validated.correlation_id)?;
+        let _in_flight_id_guard = self.in_flight_ids.reserve(validated.correlation_id)?;
         let forwarded_request = ForwardedRequest {
             method: head.method,
             uri: origin_form(head.uri),
--- a/src/net/client/request_parser.rs
+++ b/src/net/client/request_parser.rs
@@ -22,7 +22,7 @@
 const TENANT_ID_DIGITS: usize = 16;
 /// Maximum length of a correlation id, bytes.
 const MAX_CORRELATION_ID_LENGTH: usize = 128;
-/// Maximum of the time left that a client may send, ms: one hour.
+/// Longest time left that a client may send in `X-Time-Left`, ms: one hour.
 const MAX_TIME_LEFT: Millis = 3_600_000.0;
 
 /// The contents of a valid request head.
@@ -97,11 +97,12 @@
 
 fn parse_class(head: &Parts, names: &Names) -> Result<ClassId, RequestError> {
     let name = head.uri.path().split('/').nth(1).unwrap_or("");
-    let class = names.classes.iter().position(|class| class == name).ok_or(RequestError::UnknownPath)?;
+    let class_index =
+        names.classes.iter().position(|class| class == name).ok_or(RequestError::UnknownPath)?;
     if single_value(&head.headers, &SERVICE_CLASS)? != Some(name) {
         return Err(RequestError::ClassMismatch);
     }
-    Ok(ClassId(class))
+    Ok(ClassId(class_index))
 }
 
 fn check_method(method: &Method, class: &Class) -> Result<(), RequestError> {
@@ -129,8 +130,8 @@
 
 fn parse_plan(headers: &HeaderMap, names: &Names) -> Result<PlanId, RequestError> {
     let name = single_value(headers, &PLAN)?;
-    let plan = name.and_then(|name| names.plans.iter().position(|plan| plan == name));
-    plan.map(PlanId).ok_or(RequestError::UnknownPlan)
+    let plan_index = name.and_then(|name| names.plans.iter().position(|plan| plan == name));
+    plan_index.map(PlanId).ok_or(RequestError::UnknownPlan)
 }
 
 /// Returns how long the client still waits, ms. The result is at most the deadline of the class, if one is
--- a/src/net/client/response.rs
+++ b/src/net/client/response.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// Builds the response (503) to a valid request that arrives when the shutdown leaves no time to serve it.
+/// Builds the response (503) to a request with a valid head that arrives when the shutdown leaves no time to
+/// serve it.
 pub fn shutting_down() -> ClientResponse {
     plain_text(StatusCode::SERVICE_UNAVAILABLE, "ending\n")
 }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -112,8 +112,8 @@
     /// The request was passed to the connection, but no byte of it was written: the connection failed, or the
     /// stream's check before the first byte did not allow the write.
     NothingWritten,
-    /// The connection failed after at least one byte was written, so the request may have been executed. The
-    /// outcome is that of the attempt.
+    /// The connection failed after at least one byte was written, so the request may have been executed.
+    /// Contains the outcome of the attempt.
     AfterFirstByte(Outcome),
 }
 
--- a/src/net/upstream/connection_limit.rs
+++ b/src/net/upstream/connection_limit.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts open connections and compares their number with a maximum.
+/// Counts the connections that are open or being opened, and compares their number with a maximum.
 pub(super) struct ConnectionLimit {
     open_connections: Rc<Cell<usize>>,
     max_connections: usize,
--- a/src/net/upstream/instrumented_stream.rs
+++ b/src/net/upstream/instrumented_stream.rs
@@ -72,7 +72,7 @@
             return Poll::Ready(Ok(()));
         }
         if self.exchange.may_not_begin() {
-            let reason = "the request is complete, its client has disconnected or its server is not ready";
+            let reason = "the request has ended, its client disconnected or the server accepts no requests";
             return Poll::Ready(Err(io::Error::new(io::ErrorKind::ConnectionAborted, reason)));
         }
         self.socket.with(|stream| Poll::Ready(check_no_unread_bytes(stream)))
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Takes the most recently used connection to a server that is still usable and has been idle for at
-    /// least [`REUSE_DELAY`]. Closes the server's idle connections that are no longer usable or that were
-    /// opened to another address.
+    /// Takes a connection to a server from the pool: the most recently used one that is still usable and has
+    /// been idle for at least [`REUSE_DELAY`]. Closes the server's idle connections that are no longer usable
+    /// or that were opened to another address.
     pub(super) fn take(&self, server: ServerId, address: SocketAddr, now: Millis) -> Option<Connection> {
         let mut idle_by_server = self.idle_by_server.borrow_mut();
         let connections = idle_by_server.get_mut(&server)?;
@@ -113,8 +113,8 @@
 
     fn close_longest_idle(&self) -> Option<()> {
         let mut idle_by_server = self.idle_by_server.borrow_mut();
-        let servers = idle_by_server.values_mut().filter(|connections| !connections.is_empty());
-        let connections = servers.min_by(|a, b| a[0].idle_since.total_cmp(&b[0].idle_since))?;
+        let connection_lists = idle_by_server.values_mut().filter(|connections| !connections.is_empty());
+        let connections = connection_lists.min_by(|a, b| a[0].idle_since.total_cmp(&b[0].idle_since))?;
         connections.remove(0);
         Some(())
     }
