--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -84,7 +84,7 @@
         self.attempts_in_flight = (self.attempts_in_flight - 1.0).max(0.0);
     }
 
-    /// Adjusts the limit after an attempt that was answered or timed out. `latency` is the duration of the
+    /// Adjusts the limit after an attempt that succeeded or timed out. `latency` is the duration of the
     /// attempt and `objective` the latency objective of its class, both in ms.
     pub(super) fn record_latency(
         &mut self,
--- a/src/policy/endpoint_block.rs
+++ b/src/policy/endpoint_block.rs
@@ -58,10 +58,10 @@
 impl Block {
     /// All masks of the block. [`Block::update_health_bits`] relies on the order of the first three.
     fn masks(&mut self) -> impl Iterator<Item = &mut u64> {
-        let localities = self.localities.iter_mut().map(|locality| &mut locality.members);
+        let locality_masks = self.localities.iter_mut().map(|mask| &mut mask.members);
         [&mut self.available, &mut self.unhealthy_reachable, &mut self.slow_starting]
             .into_iter()
-            .chain(localities)
+            .chain(locality_masks)
     }
 
     fn search_locality(&self, locality: Locality) -> Result<usize, usize> {
@@ -81,7 +81,7 @@
     }
 
     fn drop_empty_localities(&mut self) {
-        self.localities.retain(|locality| locality.members != 0);
+        self.localities.retain(|mask| mask.members != 0);
     }
 
     /// Sets the locality bits of the server at `slot` to the zone and cell of its list entry.
--- a/src/policy/endpoint_health.rs
+++ b/src/policy/endpoint_health.rs
@@ -25,7 +25,8 @@
 /// request of this gateway only every few seconds, and an ejection has to last longer than the time between
 /// two requests.
 const SUBSET_EJECTION_FACTOR: f64 = 3.0;
-/// Time for which a server that rejected a request for lack of capacity gets no further requests, in ms.
+/// Time for which a server gets no further requests after it rejected a request, probably for lack of
+/// capacity, in ms.
 const REJECTION_PAUSE: Millis = 100.0;
 /// Factor on [`REJECTION_PAUSE`] while the gateway uses a subset of the servers, because a server then gets a
 /// request of this gateway only every few seconds.
@@ -36,12 +37,14 @@
 pub(super) struct HealthState {
     /// The endpoint list says that the server accepts new requests.
     pub(super) ready: bool,
-    /// The server gets no requests for a short time because it rejected a request for lack of capacity.
+    /// The server gets no requests for a short time because it rejected a request, probably for lack of
+    /// capacity.
     pub(super) paused: bool,
     /// False while the server is ejected. After an ejection, also false while this gateway has an attempt to
     /// the server in flight, until an attempt succeeds.
     pub(super) healthy: bool,
-    /// False if the last failure was a failed connect or a reset and no attempt has succeeded since.
+    /// False if the last failure was [`Outcome::ConnectFailed`] or [`Outcome::Reset`] and no attempt has
+    /// succeeded since.
     pub(super) reachable: bool,
     /// The server's slow start is over.
     pub(super) warm: bool,
@@ -57,7 +60,7 @@
     /// When the mean latency last changed. `None` until the first list entry is applied.
     last_sample_at: Option<Millis>,
     consecutive_failures: u32,
-    /// The last failure was a failed connect or a reset, with no success since.
+    /// The last failure was [`Outcome::ConnectFailed`] or [`Outcome::Reset`], with no success since.
     unreachable: bool,
     /// Number of ejections since the last success.
     ejections: u32,
@@ -166,8 +169,8 @@
     pub(super) fn health(&self, now: Millis, slow_start: &SlowStart) -> (HealthState, Option<Millis>) {
         let paused_until = self.paused_until.filter(|until| *until > now);
         let ejected_until = self.ejected_until.filter(|until| *until > now);
-        let started = self.endpoint.started;
-        let warm_at = (!slow_start.is_warm(now, started)).then(|| slow_start.warm_at(started));
+        let started_at = self.endpoint.started;
+        let warm_at = (!slow_start.is_warm(now, started_at)).then(|| slow_start.warm_at(started_at));
         // After an ejection and until an attempt succeeds, the server is unhealthy while an attempt is in
         // flight, because only the outcome of that attempt shows whether the server has recovered.
         let may_have_recovered =
--- a/src/policy/endpoint_index.rs
+++ b/src/policy/endpoint_index.rs
@@ -42,7 +42,7 @@
     pub(super) blocks: Vec<Block>,
     /// The next health transition of each server that has one.
     transitions: BTreeSet<Transition>,
-    /// Increased by 1, wrapping around, when a complete list begins.
+    /// Increased by 1, wrapping around, at the start of each update that lists all servers.
     list_generation: u32,
     len: usize,
     ready_count: usize,
@@ -219,13 +219,13 @@
         }
     }
 
-    /// Begins a complete list. The caller then passes each listed server to [`EndpointIndex::find_or_insert`]
-    /// and ends the list with [`EndpointIndex::remove_unlisted`].
+    /// Begins an update that lists all servers. The caller then passes each listed server to
+    /// [`EndpointIndex::find_or_insert`] and ends the update with [`EndpointIndex::remove_unlisted`].
     pub(super) fn begin_complete_list(&mut self) {
         self.list_generation = self.list_generation.wrapping_add(1);
     }
 
-    /// Ends a complete list and removes the servers that were not in it.
+    /// Ends an update that lists all servers, and removes the servers that the update did not list.
     pub(super) fn remove_unlisted(&mut self) {
         let slots = self.blocks.iter().flat_map(|block| &block.slots);
         let unlisted: Vec<u64> =
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -4,10 +4,10 @@
 //! choices).
 //!
 //! With many servers and little traffic, a gateway that used all servers would get results from each of them
-//! too rarely to judge its health. The gateway then uses a subset, the first eligible servers in an order of
-//! its own, so that each member gets requests often enough. Comparing only two random members prevents all
-//! gateways from choosing the same server at the same time. The drawback is that servers get uneven shares of
-//! the traffic.
+//! too rarely to judge the server's health. The gateway then uses a subset, the first eligible servers in an
+//! order of its own, so that each member gets requests often enough. Comparing only two random members
+//! prevents all gateways from choosing the same server at the same time. The drawback is that servers get
+//! uneven shares of the traffic.
 
 use super::candidate_set::{Candidate, CandidateSet};
 use super::endpoint_block::{bit_indices, bits_below, Locality};
@@ -93,9 +93,9 @@
         self.subset_active
     }
 
-    /// Number of servers plus number of blocks of up to 64 servers that each selection has examined, summed
-    /// over all selections. A server is counted once when slow start is checked and once when its cost is
-    /// calculated.
+    /// Total number of servers and of blocks (up to 64 servers each) that all selections so far have
+    /// examined. In each selection, a server is counted once when slow start is checked and once when its
+    /// cost is calculated.
     pub(super) fn endpoints_examined(&self) -> u64 {
         self.endpoints_examined
     }
@@ -190,7 +190,7 @@
     }
 
     /// The servers to which the idempotency of the request's class allows the next attempt. All servers are
-    /// allowed if no server may have executed an earlier attempt.
+    /// allowed if it is certain that no server has executed the request.
     fn allowed_servers(&self, request: &TrackedRequest) -> AllowedServers {
         let Some(first) = request.first_possibly_executed_attempt() else { return AllowedServers::All };
         let first_endpoint = self.index.get(first.server).map(|tracked| &tracked.endpoint);
@@ -252,7 +252,7 @@
                 AllowedServers::None => 0,
             };
             let block_len = block.slots.len();
-            let members = self.exclude_slow_start_limited(
+            let members = self.exclude_slow_start_limited_servers(
                 now,
                 block_index,
                 members,
@@ -266,7 +266,7 @@
 
     /// Removes from `members` the servers to which slow start allows no attempt now. The check stops as
     /// soon as the first `needed` members are known, because the caller uses no more than these.
-    fn exclude_slow_start_limited(
+    fn exclude_slow_start_limited_servers(
         &mut self,
         now: Millis,
         block: usize,
@@ -286,8 +286,8 @@
         members
     }
 
-    /// Refills the slow start tokens of the server at `position` if it has not reached its full capacity, and
-    /// returns whether slow start allows an attempt now.
+    /// Refills the slow start tokens of the server at `position` if the server has not reached its full
+    /// capacity, and returns whether slow start allows an attempt now.
     fn refill_slow_start_tokens(
         &mut self,
         now: Millis,
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -21,7 +21,7 @@
 /// The initial mean response time of a class is the class's latency objective divided by this value.
 const INITIAL_LATENCY_DIVISOR: f64 = 5.0;
 
-/// Makes the decisions of one gateway and holds the state that they need.
+/// Makes the decisions of one gateway and holds the state that the decisions need.
 pub struct Gateway {
     pub(super) settings: Settings,
     pub(super) rng: Pcg64Mcg,
@@ -79,16 +79,16 @@
         self.tenants.len()
     }
 
-    /// Number of servers plus number of blocks of up to 64 servers that each server selection has examined,
-    /// summed over all selections. A server is counted once when slow start is checked and once when its cost
-    /// is calculated.
+    /// Total number of servers and of blocks (up to 64 servers each) that all server selections so far have
+    /// examined. In each selection, a server is counted once when slow start is checked and once when its
+    /// cost is calculated.
     pub fn endpoints_examined(&self) -> u64 {
         self.selector.endpoints_examined()
     }
 
-    /// Handles one event that happens at `now`, ms, and appends the resulting actions. The first call also
-    /// schedules housekeeping and, if the settings say so, asks for the endpoint list. `now` must not be
-    /// earlier than in the previous call.
+    /// Handles one event that happens at `now`, ms, and appends the resulting actions. On its first event,
+    /// the gateway also schedules housekeeping and, if `poll_endpoints` is set, asks for the endpoint list.
+    /// `now` must not be earlier than for the previous event.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         if self.started_at.is_none() {
             self.start(now);
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -24,8 +24,9 @@
         }
     }
 
-    /// Whether a request without a final answer has exactly one attempt in flight and its most recent attempt
-    /// is late enough for a hedged request.
+    /// Whether a request is late enough for a hedged request: the request is not finished, its deadline has
+    /// not passed, exactly one of its attempts is in flight, and its most recent attempt started longer ago
+    /// than the hedge delay.
     fn is_late(&self, now: Millis, tracked: &TrackedRequest) -> bool {
         let delay = HEDGE_DELAY_FACTOR * self.class_latency(tracked.request.class);
         let last_is_late = tracked.attempts.last().is_some_and(|last| now - last.started_at > delay);
--- a/src/policy/mean_latency.rs
+++ b/src/policy/mean_latency.rs
@@ -7,7 +7,7 @@
 pub(super) struct MeanLatency(Option<Millis>);
 
 impl MeanLatency {
-    /// Adds a sample, in ms. `gain`, from 0 to 1, is the weight of the sample. The first sample replaces the
+    /// Adds a sample, in ms. `gain`, from 0 to 1, is the weight of the sample. The first sample becomes the
     /// mean, and so does a sample that follows a mean of 0.
     pub(super) fn record(&mut self, sample: Millis, gain: f64) {
         self.0 = Some(match self.get() {
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -12,7 +12,7 @@
     (rng.next_u64() >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
 }
 
-/// A sequence of draws in which each draw can be read by its index, without making the earlier ones.
+/// A sequence of draws in which each draw can be read by its index, without making the earlier draws.
 pub(super) struct IndexedDraws {
     /// The generator before the draw at index 0.
     initial_rng: Pcg64Mcg,
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -62,7 +62,8 @@
         tracked.objective_at - now < half_response_time.max(HOUSEKEEPING_INTERVAL)
     }
 
-    /// Creates the state of the request's tenant if there is none, and marks the tenant as seen.
+    /// Creates the state of the request's tenant if there is none, and sets the time of the tenant's last
+    /// request.
     fn mark_tenant_seen(&mut self, now: Millis, request: &Request) {
         let plan = self.settings.plans.get(request.plan.0).cloned().unwrap_or_default();
         let max_units = self.settings.max_units.max(1.0);
@@ -118,12 +119,12 @@
         self.selector.record_forwarded(now, server);
         let timeout = tracked.attempt_timeout(now);
         self.actions.push(Action::Forward { id, server, timeout });
-        let first = tracked.attempts.is_empty();
+        let is_first_attempt = tracked.attempts.is_empty();
         tracked.attempts.push(Attempt { server, started_at: now, in_flight: true, may_have_executed: true });
         self.concurrency.attempt_started();
         if let Some(tenant) = self.tenants.get_mut(&tracked.request.tenant) {
             tenant.attempt_started();
-            if first && tenant.has_quota() {
+            if is_first_attempt && tenant.has_quota() {
                 let units = tracked.request.units;
                 tenant.record(now, Disposition::Forwarded, units, self.counter_health.max_cache_age());
                 if let Usage::LowTraffic(usage) = &mut tenant.usage {
@@ -131,7 +132,7 @@
                 }
             }
         }
-        if first {
+        if is_first_attempt {
             self.retry_budget.deposit();
             self.send_rate.record(now);
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,9 +1,10 @@
 //! Slow start: limits the attempts that this gateway sends to a server that has just started.
 //!
-//! The limit is a rate: the mean rate at which the gateway sends first attempts to a warm server, but at
-//! least [`MIN_RATE_PER_SERVER`], times a lower bound of the share of its full capacity that the starting
-//! server has reached. Without this limit, a burst or the combined traffic of all gateways could overload a
-//! server that has only part of its capacity.
+//! The limit is a rate, the product of two factors. One is the mean rate at which the gateway sends first
+//! attempts to a warm server, but at least [`MIN_RATE_PER_SERVER`]. The other is a lower bound of the
+//! capacity that the starting server has reached, as a share of the server's full capacity. Without this
+//! limit, a burst or the combined traffic of all gateways could overload a server that has only part of its
+//! capacity.
 
 use crate::ids::Millis;
 use crate::settings::Settings;
@@ -26,24 +27,24 @@
         SlowStart { initial_capacity: settings.slow_start_capacity, window: settings.slow_start_window }
     }
 
-    /// Lower bound of the share of its full capacity, from 0 to 1, that a server has reached by `now`. The
-    /// server started at `started`; a `started` of 0 means that the server started long ago.
-    pub(super) fn capacity_fraction(&self, now: Millis, started: Millis) -> f64 {
-        let age = now - started;
-        if started <= 0.0 || age >= self.window {
+    /// Lower bound, from 0 to 1, of the capacity that a server has reached by `now`, as a share of the
+    /// server's full capacity. The server started at `started_at`; 0 or less means that it started long ago.
+    pub(super) fn capacity_fraction(&self, now: Millis, started_at: Millis) -> f64 {
+        let age = now - started_at;
+        if started_at <= 0.0 || age >= self.window {
             return 1.0;
         }
         self.initial_capacity + (1.0 - self.initial_capacity) * (age / self.window).max(0.0)
     }
 
-    /// Whether a server started at `started` has its full capacity.
-    pub(super) fn is_warm(&self, now: Millis, started: Millis) -> bool {
-        self.capacity_fraction(now, started) >= 1.0
+    /// Whether a server started at `started_at` has its full capacity.
+    pub(super) fn is_warm(&self, now: Millis, started_at: Millis) -> bool {
+        self.capacity_fraction(now, started_at) >= 1.0
     }
 
-    /// When a server started at `started` reaches its full capacity.
-    pub(super) fn warm_at(&self, started: Millis) -> Millis {
-        started + self.window
+    /// When a server started at `started_at` reaches its full capacity.
+    pub(super) fn warm_at(&self, started_at: Millis) -> Millis {
+        started_at + self.window
     }
 }
 
@@ -55,9 +56,9 @@
 }
 
 impl SlowStartTokens {
-    /// An empty bucket that refills from `started` on.
-    pub(super) fn empty_at(started: Millis) -> Self {
-        SlowStartTokens { tokens: 0.0, refilled_at: started }
+    /// An empty bucket that refills from `started_at` on.
+    pub(super) fn empty_at(started_at: Millis) -> Self {
+        SlowStartTokens { tokens: 0.0, refilled_at: started_at }
     }
 
     /// Refills the bucket and returns whether an attempt may be sent. The refill rate is `rate_per_server`,
