--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -110,8 +110,8 @@
     pub server_idle_timeout: f64,
     /// Timeout for opening a connection to a server, ms. A connection that is not open by then has failed.
     pub connect_timeout: f64,
-    /// Time after discovery reports that a server is draining in which new requests may still reach the
-    /// server, ms.
+    /// Time, ms, for which new requests may still reach a server after discovery reports that the server is
+    /// draining.
     pub drain_grace: f64,
 }
 
@@ -167,7 +167,8 @@
         .map_or(default_ms, |duration| duration.min(MAX_DURATION_MS))
 }
 
-/// Returns the 64-bit FNV-1a hash of `text`, which is the seed if `text` is not a 64-bit hexadecimal number.
+/// Returns the 64-bit FNV-1a hash of `text`. The hash is used as the seed if `text` is not a 64-bit
+/// hexadecimal number.
 fn hash_seed(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -11,7 +11,7 @@
 /// is used while the service does not reply.
 const MAX_PENDING_CALLS: usize = 512;
 
-/// Time, ms, since the last call or ping was queued after which a connection without pending calls is pinged,
+/// A connection without pending calls is pinged when no call or ping has been queued on it for this time, ms,
 /// so that the service does not close the connection.
 const PING_INTERVAL: Millis = 2000.0;
 
@@ -27,8 +27,7 @@
 pub(super) struct PendingCall {
     pub(super) kind: PendingKind,
     queued_at: Millis,
-    /// Number of bytes that had been queued on the connection in total when the end of this call's line was
-    /// queued.
+    /// Number of bytes queued on the connection up to and including the end of this call's line.
     end_offset: u64,
 }
 
@@ -158,8 +157,8 @@
     /// Removes and returns the oldest pending call, which the reply answers.
     ///
     /// # Errors
-    /// Returns an error if no call is pending, or if the reply does not answer calls of the same kind as the
-    /// oldest pending call, which then stays pending.
+    /// Returns an error if no call is pending, or if the oldest pending call is of a kind that the reply does
+    /// not answer. That call then stays pending.
     pub(super) fn match_reply(&self, reply: Reply) -> Result<PendingCall, UnmatchedReply> {
         let pending = &mut self.queue.borrow_mut().pending;
         match pending.front().copied() {
--- a/src/net/counter/connection_set.rs
+++ b/src/net/counter/connection_set.rs
@@ -51,8 +51,8 @@
 
     /// Returns the connection for the calls of a key, or `None` if no responsive connection is open. A key
     /// keeps the same connection while the connection is open and responsive, so that the key's calls stay in
-    /// order. Otherwise the next such connection takes the calls: if the calls failed instead, the reset of
-    /// one connection would look like a failure of the service.
+    /// order. Otherwise the responsive connection in the next slot that has one takes the calls: if the calls
+    /// failed instead, the reset of one connection would look like a failure of the service.
     pub(super) fn select(&self, key: CounterKey) -> Option<Rc<Connection>> {
         let first_index = (key.0 % CONNECTION_COUNT as u64) as usize;
         (0..CONNECTION_COUNT)
--- a/src/net/counter/reconnect.rs
+++ b/src/net/counter/reconnect.rs
@@ -22,7 +22,7 @@
 /// Maximum delay before reconnecting.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Opens the connections of one slot: whenever the connection ends or the address changes, a new one.
+/// Opens a connection for one slot, and opens a new one whenever the connection ends or the address changes.
 pub(super) struct Reconnector<S> {
     /// Index of the slot in the connection set.
     pub(super) index: usize,
@@ -42,7 +42,7 @@
 
 impl<S: EventSink + Clone + 'static> Reconnector<S> {
     /// Opens a connection, and opens a new one whenever the connection ends or the address changes. While
-    /// there is no address, waits for one. Runs for the life of the process.
+    /// no address is set, waits until one is set. Runs for the life of the process.
     pub(super) async fn reconnect_loop(self: Rc<Self>) {
         let mut backoff = INITIAL_BACKOFF;
         loop {
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -4,13 +4,13 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// A complete endpoint list, or the changes since an earlier revision of the list. Borrows from the JSON
-/// text.
+/// A list that the agent sends: all endpoints, or the changes since an earlier revision. Borrows from the
+/// JSON text.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList<'a> {
-    /// The revision number that the endpoint list has after this list is applied.
+    /// The revision number of the agent's endpoint data up to and including this list.
     pub revision: u64,
-    /// Whether the list contains every endpoint and not only the changed ones; false if it is missing.
+    /// Whether the list contains every endpoint and not only the changed ones; false if the field is missing.
     #[serde(default)]
     pub complete: bool,
     /// The entries, undecoded. Each entry is decoded separately, so that an invalid entry does not make the
--- a/src/net/discovery/json_framer.rs
+++ b/src/net/discovery/json_framer.rs
@@ -62,8 +62,8 @@
     ///
     /// # Errors
     /// Returns an error if the bytes cannot be part of an object, or if the incomplete object is already
-    /// larger than the limit. An object that exceeds the limit only with the piece that completes it is
-    /// returned.
+    /// larger than the limit. The size is checked only while the object is incomplete, so an object that
+    /// becomes larger than the limit with its last piece is still returned.
     pub fn next_object(&mut self) -> Result<Option<&[u8]>, DiscoveryError> {
         if !self.scan_to_object_end()? {
             if self.scanned_bytes - self.object_start > self.max_object_bytes {
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -27,16 +27,16 @@
 pub(super) struct ResponseStream {
     body: Incoming,
     framer: JsonFramer,
-    /// When the gateway began to wait for the rest of the incomplete object; `None` if no object is
-    /// incomplete.
+    /// When the gateway began to wait for the rest of a partly received object; `None` if the gateway
+    /// is not waiting for the rest of an object.
     object_started_at: Option<Instant>,
     _connection: ConnectionTask,
 }
 
 impl ResponseStream {
     /// Sends a request to the agent on a new connection. `request_timeout` limits the time to open the
-    /// connection, and again the time to receive the response head. Each endpoint list in the response is a
-    /// JSON object of at most `max_object_bytes`.
+    /// connection and, separately, the time to receive the response head. Each endpoint list in the response
+    /// is a JSON object of at most `max_object_bytes`.
     ///
     /// # Errors
     /// Returns an error if the agent cannot be reached, does not respond in time or responds with a status
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the next list among the received bytes, or `None` if that list is not complete yet.
+    /// Returns the next list among the received bytes, or `None` if that list is not fully received.
     ///
     /// # Errors
     /// Returns an error if the bytes are not an endpoint list, or if the list is too large.
@@ -84,9 +84,9 @@
         Ok(Some(list))
     }
 
-    /// Waits for the next piece of the body. While no object is incomplete, the piece must arrive within
+    /// Waits for the next piece of the body. Outside of an object, the piece must arrive within
     /// `idle_timeout`. Within an object, the piece must arrive within [`STALL_TIMEOUT`], and at the latest
-    /// [`OBJECT_TIMEOUT`] after the object began.
+    /// [`OBJECT_TIMEOUT`] after the gateway began to wait for the rest of the object.
     ///
     /// # Errors
     /// Returns an error if no piece arrives in time, the body has ended or the connection fails.
@@ -96,7 +96,7 @@
             self.object_started_at.get_or_insert(now);
         }
         let deadline = match self.object_started_at {
-            Some(started) => (started + OBJECT_TIMEOUT).min(now + STALL_TIMEOUT),
+            Some(started_at) => (started_at + OBJECT_TIMEOUT).min(now + STALL_TIMEOUT),
             None => now + idle_timeout,
         };
         let frame = match timeout_at(deadline, self.body.frame()).await {
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -1,10 +1,10 @@
 //! Timeouts and backoff of the watcher.
 //!
-//! The gateway must receive a change within 6 s after discovery has the change and can be reached: the drain
-//! grace then starts even if the gateway has not received the change. If the drain grace is 1 s or less, the
-//! idle timeout of a watch, one request, the longest backoff and the time limit of one object together are
-//! shorter than 6 s. With a longer drain grace, a request may take up to [`STALL_TIMEOUT`] to connect and as
-//! long again to receive the response head.
+//! The gateway must receive a change within 6 s after discovery has the change and can be reached: after 6 s,
+//! the drain grace starts even if the gateway has not received the change. If the drain grace is 1 s or less,
+//! the idle timeout of a watch, one request, the longest backoff and the time limit of one object together
+//! are shorter than 6 s. With a longer drain grace, a request may take up to [`STALL_TIMEOUT`] to connect and
+//! up to [`STALL_TIMEOUT`] more to receive the response head.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 /// The timeout of requests to the agent, and the upper limit of the backoff between them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestTiming {
-    /// Time limit for opening the connection, and again for receiving the response head.
+    /// Time limit for opening the connection and, separately, for receiving the response head.
     pub timeout: Duration,
     /// Upper limit of the backoff between two requests.
     pub max_backoff: Duration,
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -23,8 +23,8 @@
 /// Limits of a watcher's requests and memory.
 #[derive(Clone, Copy, Debug)]
 pub struct WatcherLimits {
-    /// Time after the gateway is notified that an endpoint is draining in which the endpoint may still
-    /// receive new requests. The request timeout and the longest backoff are derived from this time.
+    /// Time for which an endpoint may still receive new requests after the gateway is notified that the
+    /// endpoint is draining. The request timeout and the longest backoff are derived from this time.
     pub drain_grace: Duration,
     /// Maximum size of one JSON object, bytes.
     pub max_object_bytes: usize,
@@ -77,8 +77,9 @@
     /// The revision up to which all changes are known. If it is `None`, a complete list must be read next.
     revision: Option<u64>,
     backoff: Duration,
-    /// When the agent first responded to a watch request after it had last sent a byte on a watch or a
-    /// complete list; `None` if it has not responded to a watch request since then.
+    /// Time of the agent's first response to a watch request after the last data from the agent (any byte on
+    /// a watch, or a complete list). `None` if the agent has not responded to a watch request since that
+    /// data.
     silent_since: Option<Instant>,
 }
 
@@ -141,7 +142,7 @@
         response
     }
 
-    /// Applies the lists that were received completely on a watch.
+    /// Applies the fully received lists of a watch.
     fn apply_received(&mut self, response: &mut ResponseStream) -> Result<(), DiscoveryError> {
         loop {
             let list = match response.next_list() {
@@ -157,14 +158,14 @@
 
     fn handle_watch_error(&mut self, error: DiscoveryError) -> DiscoveryError {
         match error {
-            // The changes in the incomplete list are unknown.
+            // The list was only partly received, so its changes are unknown.
             DiscoveryError::ObjectTimeout => self.require_complete_list(error),
             error => error,
         }
     }
 
-    /// Makes the watcher read a complete list next, because the watch sent data that is incomplete or cannot
-    /// be decoded. That data may contain a change. Returns the error unchanged.
+    /// Makes the watcher read a complete list next, because data of the watch was only partly received or
+    /// cannot be decoded. That data may contain a change. Returns the error unchanged.
     fn require_complete_list(&mut self, error: DiscoveryError) -> DiscoveryError {
         self.revision = None;
         error
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -58,9 +58,9 @@
         let mut reply = vec![0; REPLY_HEADER_BYTES];
         let mut action_count = 0u32;
         for (record_number, bytes) in events.chunks_exact(EVENT_BYTES).enumerate() {
-            let event = FieldReader { bytes, section: "event" };
+            let event_record = FieldReader { bytes, section: "event" };
             let instance =
-                self.handle_event(now, event, tail).map_err(|error| error.in_record(record_number))?;
+                self.handle_event(now, event_record, tail).map_err(|error| error.in_record(record_number))?;
             for action in &self.actions {
                 reply.extend_from_slice(encode(instance, action).as_bytes());
                 action_count += 1;
@@ -77,15 +77,15 @@
     fn handle_event(
         &mut self,
         now: Millis,
-        event: FieldReader<'_>,
+        event_record: FieldReader<'_>,
         tail: FieldReader<'_>,
     ) -> Result<u32, FrameError> {
-        let instance = event.u32(record::INSTANCE)?;
+        let instance = event_record.u32(record::INSTANCE)?;
         self.actions.clear();
-        match event.u16(record::CODE)? {
-            instance_started::CODE => self.start_gateway(instance, event, tail)?,
+        match event_record.u16(record::CODE)? {
+            instance_started::CODE => self.start_gateway(instance, event_record, tail)?,
             instance_stopped::CODE => drop(self.gateways.remove(&instance)),
-            code => self.dispatch_event(now, instance, code, event, tail)?,
+            code => self.dispatch_event(now, instance, code, event_record, tail)?,
         }
         Ok(instance)
     }
@@ -93,14 +93,14 @@
     fn start_gateway(
         &mut self,
         instance: u32,
-        event: FieldReader<'_>,
+        event_record: FieldReader<'_>,
         tail: FieldReader<'_>,
     ) -> Result<(), FrameError> {
-        let offset = event.u32(instance_started::SETTINGS_OFFSET)?;
-        let bytes = event.u32(instance_started::SETTINGS_BYTES)?;
+        let offset = event_record.u32(instance_started::SETTINGS_OFFSET)?;
+        let bytes = event_record.u32(instance_started::SETTINGS_BYTES)?;
         let text = std::str::from_utf8(tail.items(offset, bytes, 1)?);
         let settings = parse_settings(text.map_err(|_| FrameError::SettingsNotUtf8)?)?;
-        let seed = event.u64(instance_started::SEED)?;
+        let seed = event_record.u64(instance_started::SEED)?;
         self.gateways.insert(instance, Gateway::new(settings, seed));
         Ok(())
     }
@@ -110,12 +110,12 @@
         now: Millis,
         instance: u32,
         code: u16,
-        event: FieldReader<'_>,
+        event_record: FieldReader<'_>,
         tail: FieldReader<'_>,
     ) -> Result<(), FrameError> {
         let gateway =
             self.gateways.get_mut(&instance).ok_or(FrameError::UnknownInstance { code, instance })?;
-        if let Some(event) = decode(code, event, tail)? {
+        if let Some(event) = decode(code, event_record, tail)? {
             gateway.handle(now, event, &mut self.actions);
         }
         Ok(())
--- a/src/simulator/layout.rs
+++ b/src/simulator/layout.rs
@@ -1,7 +1,8 @@
 //! Codes and byte offsets of the simulator's protocol. The constants have the names that the policy uses; a
 //! comment contains the protocol's own name where it is different. Offsets in a record are counted from the
 //! start of the record, which begins with its code. The tail of a frame is everything after the event
-//! records; offsets that a record contains are counted from the start of the tail.
+//! records; an offset that is the value of a field, such as the one at `SETTINGS_OFFSET`, is counted from the
+//! start of the tail.
 
 /// Size of a frame header, bytes.
 pub const HEADER_BYTES: usize = 16;
