--- a/src/action.rs
+++ b/src/action.rs
@@ -19,7 +19,8 @@
     Reject {
         /// ID of the rejected request.
         id: RequestId,
-        /// Time after which the client should retry, ms from now; 0 means that the client is told no time.
+        /// Time after which the client should retry, ms from now; 0 means that the response
+        /// states no time.
         retry_after: Millis,
     },
     /// Send the client the final answer that its request failed. A server may have executed the request.
@@ -39,7 +40,7 @@
         key: CounterKey,
         /// The amount to add, units. It may be negative; 0 only reads the total.
         add: f64,
-        /// Time to live of the total, ms. It takes effect only if this call creates the total.
+        /// Time to live of the total, ms. The time to live is set only if this call creates the total.
         ttl: Millis,
     },
     /// Schedule an [`Event::Timer`](crate::event::Event::Timer).
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -10,24 +10,24 @@
 /// back while the process runs, this clock must not go back, because the counter keys would go back as well.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix_at_start: Millis,
+    unix_time_at_start: Millis,
     start: Instant,
 }
 
 impl Clock {
     /// Starts a clock at the current system time.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix_at_start: unix.as_secs_f64() * 1000.0, start: Instant::now() }
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_time_at_start: unix_time.as_secs_f64() * 1000.0, start: Instant::now() }
     }
 
     /// The current Unix time, ms.
     pub fn now(&self) -> Millis {
-        self.unix_at_start + self.start.elapsed().as_secs_f64() * 1000.0
+        self.unix_time_at_start + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
     /// Converts a Unix time, ms, to monotonic time. Returns the clock's start for times before the start.
     pub fn instant_at(&self, at: Millis) -> Instant {
-        self.start + Duration::from_secs_f64(((at - self.unix_at_start) / 1000.0).max(0.0))
+        self.start + Duration::from_secs_f64(((at - self.unix_time_at_start) / 1000.0).max(0.0))
     }
 }
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -102,7 +102,7 @@
     pub fn apply(&mut self, list: &EndpointList<'_>, update: EndpointUpdate) -> DecodedList {
         let mut decoded = DecodedList { endpoints: Vec::new(), all_decoded: true };
         for entry in list.entries() {
-            match entry.map_err(EndpointError::from).and_then(|entry| self.register(&entry)) {
+            match entry.map_err(EndpointError::from).and_then(|entry| self.apply_entry(&entry)) {
                 Ok(endpoint) => decoded.endpoints.push(endpoint),
                 Err(error) => {
                     log::log!(error.log_level(), "discovery: ignored an endpoint list entry: {error}");
@@ -117,7 +117,7 @@
         decoded
     }
 
-    fn register(&mut self, entry: &EndpointEntry<'_>) -> Result<Endpoint, EndpointError> {
+    fn apply_entry(&mut self, entry: &EndpointEntry<'_>) -> Result<Endpoint, EndpointError> {
         let server = server_id(&entry.id);
         let state = decode_state(entry)?;
         if let Some(other) = self.endpoints.get(&server).filter(|other| other.id != entry.id) {
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -34,8 +34,8 @@
 pub use super::request_table::Answer;
 
 /// Time, ms, between the policy's deadline for a request and the client's later deadline. It is needed
-/// because the client's deadline runs from when it sent the request, and the response takes time to reach the
-/// client.
+/// because the time until the client's deadline starts when the client sends the request, and the response
+/// takes time to reach the client.
 const RESPONSE_MARGIN: Millis = 20.0;
 /// The event loop answers a request as timed out this long, ms, before the client's deadline, if the request
 /// has no answer yet. The time is shorter than [`RESPONSE_MARGIN`], so that the policy can answer first.
@@ -221,7 +221,7 @@
         self.running.set(false);
     }
 
-    /// Passes an event to the policy, if there is one, and executes all pending actions.
+    /// Passes `event`, if it is not `None`, to the policy, and executes all pending actions.
     fn process_event(self: &Rc<Self>, event: Option<Event>) {
         if let Some(event) = event {
             self.policy.borrow_mut().handle(self.now(), event);
@@ -279,7 +279,7 @@
         self.requests.borrow_mut().answer(id, answer);
     }
 
-    /// Handles the disconnect of a request's client. Does nothing if the request has already been answered.
+    /// Handles the disconnect of a request's client. Does nothing if the request is already complete.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
         if let Some(responder) = responder {
@@ -299,7 +299,7 @@
 
     /// Answers a request as timed out if it has no answer yet. Called shortly before the request's deadline
     /// and at the end of a shutdown. Without this, the client of a request that the policy leaves unanswered
-    /// would wait until its deadline and get no response.
+    /// would wait until the deadline and get no response.
     fn time_out_request(self: &Rc<Self>, id: RequestId) {
         let responder = self.requests.borrow_mut().complete(id);
         let Some(responder) = responder else { return };
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -87,7 +87,7 @@
     /// before the task that reports the client's disconnect, and each of them may begin an attempt.
     ///
     /// # Errors
-    /// The outcome of the attempt if it may not begin.
+    /// Returns the outcome of the attempt if the attempt may not begin.
     pub fn check_may_begin(self: &Rc<Self>, id: RequestId, server: ServerId) -> Result<(), Outcome> {
         let client = self.requests.borrow().waiting_client(id);
         let client = client.ok_or(Outcome::NotSent)?;
--- a/src/net/logging.rs
+++ b/src/net/logging.rs
@@ -20,8 +20,8 @@
         RateWindow { start: Instant::now(), lines: 0 }
     }
 
-    /// Counts a line, starting a new window if the last one has ended, and returns whether the line may be
-    /// written.
+    /// Counts a line, starting a new window if the current window has ended, and returns whether the
+    /// line may be written.
     fn admit_line(&mut self) -> bool {
         if self.start.elapsed() > Duration::from_secs(1) {
             *self = RateWindow::starting_now();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,8 +3,8 @@
 //! - [`event_loop`] passes events from the sockets to the policy and executes the policy's actions. It owns
 //!   the [`request_table`], the [`endpoint_registry`], the [`timer_queue`] and the [`clock`].
 //! - [`client`], [`upstream`], [`counter`] and [`discovery`] each hold the connections to one kind of peer.
-//!   They report to the event loop, in part through an [`event_sink`]. [`socket`] has low-level socket
-//!   operations.
+//!   [`client`] calls the event loop directly. The other three call it through traits, such as
+//!   [`EventSink`](event_sink::EventSink). [`socket`] has low-level socket operations.
 //! - [`serve`] starts all of these modules. [`signals`], [`shutdown`], [`connection_limits`], [`logging`] and
 //!   [`supervisor`] handle the gateway process itself.
 
--- a/src/net/request_table.rs
+++ b/src/net/request_table.rs
@@ -17,7 +17,8 @@
     Served(Bytes),
     /// The request was rejected. The client may safely retry it.
     Rejected {
-        /// Time, ms, after which the client should retry; 0 means that the client is told no time.
+        /// Time, ms, after which the client should retry; 0 means that the response states no
+        /// time.
         retry_after: Millis,
     },
     /// The request failed. A server may have executed it.
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 /// Time from the start of a shutdown until idle client connections are closed. New connections may arrive for
-/// up to 0.4 s after the signal. Even after this delay, a new connection has `NEW_CONNECTION_GRACE` (see the
-/// client module) to send its first request.
+/// up to 0.4 s after the shutdown signal. Even after this delay, a new connection has `NEW_CONNECTION_GRACE`
+/// (see the client module) to send its first request.
 const CLOSE_IDLE_DELAY: Duration = Duration::from_millis(450);
 /// Upper bound, ms, of the request deadline that a shutdown waits for. A class may have a longer deadline.
 const MAX_REQUEST_WAIT: Millis = 3000.0;
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -3,7 +3,7 @@
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The operation that a signal asks the gateway process for.
+/// What a signal tells the gateway process to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlSignal {
     /// SIGHUP: read the configuration again.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -89,13 +89,14 @@
     pub hedging_allowed: bool,
     /// Whether the gateway may cancel attempts that are in flight.
     pub cancellation_allowed: bool,
-    /// Longest `Retry-After` that clients obey, ms. Longer times are reduced to it; 0 means that clients are
-    /// told no time.
+    /// Longest `Retry-After` that clients obey, ms. Longer times are reduced to this maximum; 0 means that
+    /// responses state no time.
     pub max_retry_after: Millis,
     /// Whether the gateway calls the counter service.
     pub counter_enabled: bool,
-    /// Time within which the counter service answers a call if its queue is short enough, ms. It is the
-    /// lower bound of the timeout that [`counter_call_timeout`](crate::policy::counter_call_timeout) returns.
+    /// Time within which the counter service answers a call if the service's queue is short enough, ms. This
+    /// time is the lower bound of the timeout that
+    /// [`counter_call_timeout`](crate::policy::counter_call_timeout) returns.
     pub counter_timeout: Millis,
     /// Whether discovery sends endpoint lists only on request. If so, the policy returns
     /// [`Action::WatchEndpoints`](crate::action::Action::WatchEndpoints) for its first event.
