--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -16,9 +16,9 @@
 /// limit from the response head to the end of a complete list.
 pub(super) const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without a byte after which a watch is reopened. The agent sends an empty line every 2 s on an idle
-/// watch. If the line is missing, the connection may be dead while the agent is alive: the agent may have a
-/// change that it cannot send, and the 6 s for that change have begun. If discovery itself is down, reopening
-/// the watch costs nothing.
+/// watch. If the line is missing, the connection may be dead although the agent is alive. The agent may then
+/// have a change that it cannot send, and part of the 6 s within which the gateway must receive the change may
+/// already have passed. If discovery itself is down, reopening the watch costs nothing.
 pub(super) const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
 /// A complete list is requested when the agent responded to a watch request at least this long ago and has
 /// not sent a byte on any watch since, not even an empty line: the agent may have changes that its watches do
--- a/src/policy/candidate_set.rs
+++ b/src/policy/candidate_set.rs
@@ -17,7 +17,7 @@
     /// Index of the block.
     block: usize,
     /// Bit mask of the slots of the candidates.
-    members: u64,
+    slot_mask: u64,
     /// Rank of the first server in the block.
     first_rank: usize,
 }
@@ -56,35 +56,35 @@
         self.servers_scanned
     }
 
-    /// Adds the `members` of a block that holds `block_len` servers. If not all members fit into the set,
-    /// adds as many as fit, from the lowest slot up.
-    pub(super) fn add(&mut self, block: usize, mut members: u64, block_len: usize) {
-        if members.count_ones() as usize > self.remaining_capacity() {
-            let first_excluded = bit_indices(members).nth(self.remaining_capacity());
-            members = first_excluded.map_or(members, |slot| members & bits_below(slot));
+    /// Adds the servers in `slot_mask` of a block that holds `block_len` servers. If not all of them fit into
+    /// the set, adds as many as fit, from the lowest slot up.
+    pub(super) fn add(&mut self, block: usize, mut slot_mask: u64, block_len: usize) {
+        if slot_mask.count_ones() as usize > self.remaining_capacity() {
+            let first_excluded = bit_indices(slot_mask).nth(self.remaining_capacity());
+            slot_mask = first_excluded.map_or(slot_mask, |slot| slot_mask & bits_below(slot));
         }
-        if members != 0 {
-            self.blocks.push(BlockCandidates { block, members, first_rank: self.servers_scanned });
+        if slot_mask != 0 {
+            self.blocks.push(BlockCandidates { block, slot_mask, first_rank: self.servers_scanned });
         }
-        self.len += members.count_ones() as usize;
+        self.len += slot_mask.count_ones() as usize;
         self.servers_scanned += if self.remaining_capacity() > 0 {
             block_len
         } else {
-            BLOCK_CAPACITY - members.leading_zeros() as usize
+            BLOCK_CAPACITY - slot_mask.leading_zeros() as usize
         };
     }
 
     /// All candidates, in the gateway's order.
     pub(super) fn iter(&self) -> impl Iterator<Item = Candidate> + '_ {
-        self.blocks.iter().flat_map(|block| bit_indices(block.members).map(|slot| block.candidate(slot)))
+        self.blocks.iter().flat_map(|block| bit_indices(block.slot_mask).map(|slot| block.candidate(slot)))
     }
 
     /// The candidate at `index`, counted from 0; `None` if the set has fewer candidates.
     pub(super) fn nth(&self, mut index: usize) -> Option<Candidate> {
         for block in &self.blocks {
-            let size = block.members.count_ones() as usize;
+            let size = block.slot_mask.count_ones() as usize;
             if index < size {
-                return bit_indices(block.members).nth(index).map(|slot| block.candidate(slot));
+                return bit_indices(block.slot_mask).nth(index).map(|slot| block.candidate(slot));
             }
             index -= size;
         }
--- a/src/policy/counter_calls.rs
+++ b/src/policy/counter_calls.rs
@@ -94,7 +94,7 @@
         let tenant = tracked.request.tenant;
         let units = tracked.request.units;
         let Some(usage) = self.low_traffic_usage(tenant) else { return };
-        if let Some(usage_with_request) = usage.fresh_usage_with(now, units) {
+        if let Some(usage_with_request) = usage.fresh_usage_including(now, units) {
             tracked.quota_check.observed_usage = Some(usage_with_request);
             return;
         }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -242,48 +242,48 @@
             }
             self.endpoints_examined += 1;
             let block = &self.index.blocks[block_index];
-            let mut members = block.available | if ejection_active { 0 } else { block.unhealthy_reachable };
+            let mut slot_mask = block.available | if ejection_active { 0 } else { block.unhealthy_reachable };
             for position in excluded.iter().filter(|position| position.block == block_index) {
-                members &= !(1 << position.slot);
+                slot_mask &= !(1 << position.slot);
             }
-            members &= match allowed {
+            slot_mask &= match allowed {
                 AllowedServers::All => u64::MAX,
                 AllowedServers::SameLocality(locality) => block.members_of(locality),
                 AllowedServers::None => 0,
             };
             let block_len = block.slots.len();
-            let members = self.exclude_slow_start_limited_servers(
+            let slot_mask = self.exclude_slow_start_limited_servers(
                 now,
                 block_index,
-                members,
+                slot_mask,
                 candidates.remaining_capacity(),
                 rate_per_server,
             );
-            candidates.add(block_index, members, block_len);
+            candidates.add(block_index, slot_mask, block_len);
         }
         candidates
     }
 
-    /// Removes from `members` the servers to which slow start allows no attempt now. The check stops as
-    /// soon as the first `needed` members are known, because the caller uses no more than these.
+    /// Removes from `slot_mask` the servers to which slow start allows no attempt now. The check stops as
+    /// soon as the first `needed` servers are known, because the caller uses no more than these.
     fn exclude_slow_start_limited_servers(
         &mut self,
         now: Millis,
         block: usize,
-        mut members: u64,
+        mut slot_mask: u64,
         needed: usize,
         rate_per_server: f64,
     ) -> u64 {
-        for slot in bit_indices(members & self.index.blocks[block].slow_starting) {
-            if (members & bits_below(slot)).count_ones() as usize >= needed {
+        for slot in bit_indices(slot_mask & self.index.blocks[block].slow_starting) {
+            if (slot_mask & bits_below(slot)).count_ones() as usize >= needed {
                 break;
             }
             self.endpoints_examined += 1;
             if !self.refill_slow_start_tokens(now, EndpointPosition { block, slot }, rate_per_server) {
-                members &= !(1 << slot);
+                slot_mask &= !(1 << slot);
             }
         }
-        members
+        slot_mask
     }
 
     /// Refills the slow start tokens of the server at `position` if the server has not reached its full
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -128,7 +128,7 @@
     }
 
     /// The usage including a request of `units`, if a read younger than [`SYNC_INTERVAL`] is cached.
-    pub(super) fn fresh_usage_with(&self, now: Millis, units: f64) -> Option<f64> {
+    pub(super) fn fresh_usage_including(&self, now: Millis, units: f64) -> Option<f64> {
         let fresh = self.cached_usage.filter(|cached| now - cached.read_at < SYNC_INTERVAL)?;
         Some(fresh.units + units)
     }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -69,8 +69,8 @@
 
     /// Whether the request may have another attempt: the idempotency of the class and `max_attempts` allow an
     /// attempt, and no response to the client has started. A `max_attempts` of 0 means that there is no
-    /// limit. The time for which servers remember an idempotency key is shortened by one housekeeping
-    /// interval for this check.
+    /// limit. In a class with idempotency keys, an attempt is allowed only until one housekeeping interval
+    /// before the servers forget the key, counted from the start of the first attempt that may have executed.
     pub(super) fn may_attempt_again(&self, now: Millis, max_attempts: u32) -> bool {
         let idempotency_allows = match (self.class.idempotency, self.first_possibly_executed_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/tests/unit/candidate_set.rs
+++ b/tests/unit/candidate_set.rs
@@ -10,14 +10,14 @@
         let blocks = [(0b1011_0000, 9), (0, 64), (u64::MAX, 64), (1 << 63, 64)];
         let mut expected = Vec::new();
         let mut first_rank = 0;
-        for (block, (members, len)) in blocks.into_iter().enumerate() {
-            expected.extend(bit_indices(members).map(|slot| Candidate {
+        for (block, (slot_mask, len)) in blocks.into_iter().enumerate() {
+            expected.extend(bit_indices(slot_mask).map(|slot| Candidate {
                 position: EndpointPosition { block, slot },
                 rank: first_rank + slot,
             }));
             first_rank += len;
             if set.remaining_capacity() > 0 {
-                set.add(block, members, len);
+                set.add(block, slot_mask, len);
             }
         }
         let scanned = if max_size > expected.len() { first_rank } else { expected[max_size - 1].rank + 1 };
