--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -50,12 +50,12 @@
 }
 
 /// Checks whether the kernel holds received bytes that have not been read.
-pub trait UnreadBytes {
+pub trait UnreadBytesCheck {
     /// Whether at least one byte can be read now; false if the check fails. Each call makes a system call.
     fn has_unread_bytes(&self) -> bool;
 }
 
-impl UnreadBytes for TcpStream {
+impl UnreadBytesCheck for TcpStream {
     fn has_unread_bytes(&self) -> bool {
         let peeked = SockRef::from(self).peek(&mut [MaybeUninit::uninit()]);
         matches!(peeked, Ok(1..))
@@ -66,7 +66,7 @@
 /// connection: `listener`, `idle_reaper` and `eviction`.
 pub struct Connection {
     stream: Rc<TcpStream>,
-    unread_check: Rc<dyn UnreadBytes>,
+    unread_check: Rc<dyn UnreadBytesCheck>,
     phase: Cell<Phase>,
     phase_start: Cell<Millis>,
     /// Whether any byte has been received on the connection.
@@ -82,7 +82,7 @@
 impl Connection {
     /// Creates the state of a connection accepted at `now`, Unix ms; `unread_check` checks `stream` for
     /// unread bytes.
-    pub fn new(stream: Rc<TcpStream>, unread_check: Rc<dyn UnreadBytes>, now: Millis) -> Self {
+    pub fn new(stream: Rc<TcpStream>, unread_check: Rc<dyn UnreadBytesCheck>, now: Millis) -> Self {
         Connection {
             stream,
             unread_check,
--- a/src/net/client/head_counter.rs
+++ b/src/net/client/head_counter.rs
@@ -2,8 +2,9 @@
 
 /// Counts the ends of request heads (`CR LF CR LF`) among the bytes of a connection.
 ///
-/// If a body contains these four bytes, they are counted as a pending head until the first bytes arrive after
-/// the connection has become idle. The only effect is that the connection may stay open a little longer.
+/// If a body contains these four bytes, they are counted as a pending head. The counter is reset when the
+/// first bytes arrive on an idle connection, so the only effect is that the connection may stay open a little
+/// longer.
 #[derive(Clone, Copy, Default)]
 pub struct RequestHeadCounter {
     /// Number of complete heads whose requests the handler has not received yet.
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections and limits their number.
 
-use super::connection::{Connection, UnreadBytes};
+use super::connection::{Connection, UnreadBytesCheck};
 use super::connection_table::ConnectionTable;
 use super::connection_task::serve_connection;
 use super::request_handler::RequestHandler;
@@ -71,7 +71,7 @@
     }
 
     /// Registers a connection and starts its task.
-    fn spawn_connection(&self, stream: Rc<TcpStream>, unread_check: Rc<dyn UnreadBytes>) {
+    fn spawn_connection(&self, stream: Rc<TcpStream>, unread_check: Rc<dyn UnreadBytesCheck>) {
         // The connection is registered here, before the next one is accepted, so that a burst of connections
         // cannot exceed the limit.
         let registered =
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -284,7 +284,8 @@
         let responder = self.requests.borrow_mut().complete(id);
         if let Some(responder) = responder {
             // The responder is dropped before the policy handles the disconnect, so that the task of the
-            // client's connection is woken first and closes the connection.
+            // client's connection, which closes the connection, is woken before any task that the policy's
+            // actions start or wake.
             drop(responder);
             self.cancel_request(id);
         }
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -121,10 +121,10 @@
     }
 
     /// Whether this gateway's part of the plan's limit on attempts in flight is used up. Each gateway allows
-    /// an equal part of the limit, but at least one attempt. The gateways together therefore keep any limit
-    /// of at least one attempt per gateway without communicating. The cost is that a tenant whose requests
-    /// all arrive at one gateway cannot use the parts of the other gateways: it has to wait until one of its
-    /// attempts there ends.
+    /// an equal part of the limit, but at least one attempt. If the limit allows at least one attempt per
+    /// gateway, the gateways together therefore never exceed it, although they do not communicate. The cost
+    /// is that a tenant whose requests all arrive at one gateway cannot use the parts of the other gateways:
+    /// it has to wait until one of its attempts there ends.
     pub(super) fn is_at_in_flight_limit(&self) -> bool {
         let limit = self.plan.max_in_flight;
         limit > 0.0 && self.in_flight >= (limit / self.gateway_count).floor().max(1.0)
--- a/tests/unit/client.rs
+++ b/tests/unit/client.rs
@@ -15,7 +15,7 @@
     count: Rc<Cell<usize>>,
 }
 
-impl UnreadBytes for PeekCounter {
+impl UnreadBytesCheck for PeekCounter {
     fn has_unread_bytes(&self) -> bool {
         self.count.set(self.count.get() + 1);
         self.stream.has_unread_bytes()
