--- a/capacity/src/deployment.rs
+++ b/capacity/src/deployment.rs
@@ -101,14 +101,14 @@
         (0..self.servers).map(|index| self.entry(index, EndpointState::Ready, 0.0)).collect()
     }
 
-    /// One entry of the endpoint list. `started` is the time at which the server last started, ms.
-    pub fn entry(&self, index: usize, state: EndpointState, started: Millis) -> Endpoint {
+    /// One entry of the endpoint list. `started_at` is the time at which the server last started, ms.
+    pub fn entry(&self, index: usize, state: EndpointState, started_at: Millis) -> Endpoint {
         Endpoint {
             server: ServerId(index as u32 + 1),
             weight: 1.0,
             zone: (index % self.zones) as u16,
             cell: (index / CELL_SIZE) as u16,
-            started,
+            started_at,
             state,
         }
     }
--- a/capacity/src/simulated_fleet/fleet.rs
+++ b/capacity/src/simulated_fleet/fleet.rs
@@ -197,10 +197,10 @@
 
     fn update_endpoint_lists(&mut self, group: ServerGroup, ready: bool) -> Vec<GatewayEvent> {
         let state = if ready { EndpointState::Ready } else { EndpointState::Draining };
-        let started = if ready { self.now } else { 0.0 };
+        let started_at = if ready { self.now } else { 0.0 };
         let members = self.servers.members(group);
         let entries: Vec<Endpoint> =
-            members.into_iter().map(|server| self.deployment.entry(server, state, started)).collect();
+            members.into_iter().map(|server| self.deployment.entry(server, state, started_at)).collect();
         if ready {
             self.servers.set_running(group, true);
         }
--- a/src/event.rs
+++ b/src/event.rs
@@ -28,7 +28,7 @@
     pub cell: u16,
     /// Time of the server's last start, ms, on the clock of the policy's caller; 0 means that the server
     /// started long ago and has its full capacity.
-    pub started: Millis,
+    pub started_at: Millis,
     /// Whether the server accepts requests, is draining or has been removed.
     pub state: EndpointState,
 }
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -137,7 +137,7 @@
             weight: entry.size,
             zone: self.zone_number(&entry.locality),
             cell: entry.cell,
-            started: entry.up_since_ms,
+            started_at: entry.up_since_ms,
             state,
         })
     }
--- a/src/policy/endpoint_health.rs
+++ b/src/policy/endpoint_health.rs
@@ -74,13 +74,13 @@
     /// mean response time starts at `overall_latency`. Only the number of attempts in flight is kept, because
     /// attempts to the old process may not have ended yet.
     pub(super) fn update(&mut self, now: Millis, endpoint: Endpoint, overall_latency: MeanLatency) {
-        let restarted = self.endpoint.started != endpoint.started;
+        let restarted = self.endpoint.started_at != endpoint.started_at;
         if self.last_sample_at.is_none() || restarted {
             *self = TrackedEndpoint {
                 attempts_in_flight: self.attempts_in_flight,
                 mean_latency: overall_latency,
                 last_sample_at: Some(now),
-                slow_start_tokens: SlowStartTokens::empty_at(endpoint.started),
+                slow_start_tokens: SlowStartTokens::empty_at(endpoint.started_at),
                 ..TrackedEndpoint::default()
             };
         }
@@ -169,7 +169,7 @@
     pub(super) fn health(&self, now: Millis, slow_start: &SlowStart) -> (HealthState, Option<Millis>) {
         let paused_until = self.paused_until.filter(|until| *until > now);
         let ejected_until = self.ejected_until.filter(|until| *until > now);
-        let started_at = self.endpoint.started;
+        let started_at = self.endpoint.started_at;
         let warm_at = (!slow_start.is_warm(now, started_at)).then(|| slow_start.warm_at(started_at));
         // After an ejection and until an attempt succeeds, the server is unhealthy while an attempt is in
         // flight, because only the outcome of that attempt shows whether the server has recovered.
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -295,7 +295,7 @@
         rate_per_server: f64,
     ) -> bool {
         let tracked = self.index.at_mut(position);
-        let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started);
+        let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started_at);
         capacity_fraction >= 1.0 || tracked.slow_start_tokens.refill(now, capacity_fraction, rate_per_server)
     }
 
@@ -312,7 +312,7 @@
         self.endpoints_examined += 1;
         let tracked = self.index.at(candidate.position);
         let jitter = 1.0 + COST_JITTER * draws.at(candidate.rank);
-        let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started);
+        let capacity_fraction = self.slow_start.capacity_fraction(now, tracked.endpoint.started_at);
         let cost =
             |latency: Millis| latency * (1.0 + tracked.attempts_in_flight()) * jitter / capacity_fraction;
         let overall_latency = self.mean_latency.get().unwrap_or(0.0).max(MIN_OVERALL_LATENCY);
--- a/src/simulator/event_decoder.rs
+++ b/src/simulator/event_decoder.rs
@@ -99,7 +99,7 @@
         weight: entry.f32(endpoint::WEIGHT)?,
         server: ServerId(entry.u32(endpoint::SERVER)?),
         zone: entry.u16(endpoint::ZONE)?,
-        started: entry.f64(endpoint::STARTED)?,
+        started_at: entry.f64(endpoint::STARTED_AT)?,
         cell: entry.u16(endpoint::CELL)?,
         state: decode_state(entry.u8(endpoint::STATE)?)?,
     })
--- a/src/simulator/layout.rs
+++ b/src/simulator/layout.rs
@@ -120,7 +120,7 @@
     pub const WEIGHT: usize = 0;
     pub const SERVER: usize = 4;
     pub const ZONE: usize = 8; // dc
-    pub const STARTED: usize = 11; // ready_at
+    pub const STARTED_AT: usize = 11; // ready_at
     pub const CELL: usize = 19; // unit_group
     pub const STATE: usize = 21;
 }
--- a/tests/load_balancing/random_fleet.rs
+++ b/tests/load_balancing/random_fleet.rs
@@ -214,8 +214,8 @@
     }
 
     fn restart(&mut self, index: usize) -> Vec<Endpoint> {
-        let started = self.restarted_at();
-        self.endpoints[index] = Endpoint { started, ..endpoint(self.endpoints[index].server.0) };
+        let started_at = self.restarted_at();
+        self.endpoints[index] = Endpoint { started_at, ..endpoint(self.endpoints[index].server.0) };
         vec![self.endpoints[index].clone()]
     }
 
@@ -232,9 +232,9 @@
     }
 
     fn replace_half(&mut self) -> Vec<Endpoint> {
-        let started = self.restarted_at();
+        let started_at = self.restarted_at();
         for replaced in self.endpoints.iter_mut().step_by(2) {
-            *replaced = Endpoint { started, ..endpoint(replaced.server.0 + REPLACEMENT_OFFSET) };
+            *replaced = Endpoint { started_at, ..endpoint(replaced.server.0 + REPLACEMENT_OFFSET) };
         }
         self.endpoints.clone()
     }
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_starting_server_gets_few_requests_in_its_first_second() {
     let mut rig = Rig::new(settings(), 0);
-    let starting = Endpoint { started: 1000.0, ..ready_endpoint(1) };
+    let starting = Endpoint { started_at: 1000.0, ..ready_endpoint(1) };
     rig.handle(1000.0, complete_list(vec![starting, ready_endpoint(2), ready_endpoint(3)]));
     let mut to_starting = 0;
     for step in 0..60 {
--- a/tests/slow_start/fleet.rs
+++ b/tests/slow_start/fleet.rs
@@ -233,7 +233,7 @@
             server: ServerId(server as u32),
             weight: self.servers[server].size,
             zone: (server * world.zones / world.servers) as u16,
-            started: if current && world.is_starting(server) { START } else { 0.0 },
+            started_at: if current && world.is_starting(server) { START } else { 0.0 },
             ..Endpoint::default()
         };
         (first..world.servers).map(entry).collect()
