--- a/src/config/file.rs
+++ b/src/config/file.rs
@@ -98,7 +98,7 @@
     /// Seed of the policy's random numbers. The file contains it as a hexadecimal number; any other text is
     /// hashed.
     pub seed: u64,
-    /// The JSON text of the endpoint list that this gateway used last.
+    /// The JSON text of the endpoint list that this gateway used last; `None` if the file contains none.
     pub cached_endpoints_json: Option<Box<RawValue>>,
     /// Resource limits that the platform sets for the process.
     pub limits: Limits,
--- a/src/net/counter/connection.rs
+++ b/src/net/counter/connection.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use tokio::sync::Notify;
 
-/// Number of pending calls on a connection at which further calls fail at once. This limits the memory that
+/// Maximum number of pending calls on a connection. Further calls fail at once, which limits the memory that
 /// is used while the service does not reply.
 const MAX_PENDING_CALLS: usize = 512;
 
--- a/src/net/counter/protocol.rs
+++ b/src/net/counter/protocol.rs
@@ -38,7 +38,7 @@
 /// A reply of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Reply {
-    /// The increment was added. Holds the counter's total after the increment.
+    /// The amount was added. Holds the counter's total after the addition.
     Total(f64),
     /// The service is overloaded; nothing was added.
     Busy,
--- a/src/net/discovery/connect.rs
+++ b/src/net/discovery/connect.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// Implemented by addresses of an agent, to which connections can be opened. The `Display` text of the
+/// Opens connections to the agent at an address. Implemented by types of addresses. The `Display` text of the
 /// address is sent as the value of the `Host` header and appears in the log.
 pub trait Connect: Display {
     /// A connection to the agent.
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -8,7 +8,7 @@
 /// JSON text.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList<'a> {
-    /// The revision number of the agent's endpoint data up to and including this list.
+    /// The revision number of the agent's endpoint data after the changes in this list.
     pub revision: u64,
     /// Whether the list contains every endpoint and not only the changed ones; false if the field is missing.
     #[serde(default)]
@@ -40,7 +40,7 @@
     /// The capacity of the endpoint relative to the other endpoints; 1 if it is missing.
     #[serde(default = "default_size")]
     pub size: f64,
-    /// The time at which the endpoint last started, Unix time in ms; 0 means long ago and is the default.
+    /// The time at which the endpoint last started, Unix time in ms; 0, the default, means long ago.
     #[serde(default)]
     pub up_since_ms: f64,
 }
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -4,7 +4,7 @@
 use std::error::Error;
 use std::fmt::{Display, Formatter};
 
-/// The reason why a request to the discovery agent or a watch failed.
+/// The reason why a watch or another request to the discovery agent failed.
 #[derive(Debug)]
 pub enum DiscoveryError {
     /// The connection could not be opened.
--- a/src/net/discovery/json_framer.rs
+++ b/src/net/discovery/json_framer.rs
@@ -5,7 +5,7 @@
 
 /// Share of the memory limit that the bytes of one object may use. While a complete list is decoded, memory
 /// contains a buffer of up to twice the size of the list's bytes, the decoded list and the previous list:
-/// together at most four times this share. Connections may use a share of 0.6.
+/// together at most four times this share. Connections may use a share of 0.6 of the memory limit.
 const OBJECT_MEMORY_SHARE: f64 = 1.0 / 16.0;
 /// Lower limit of [`max_object_bytes`], bytes. It applies to memory limits below about 17 MB, which are too
 /// small for the gateway to run.
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -29,7 +29,7 @@
     framer: JsonFramer,
     /// When the gateway began to wait for the rest of a partly received object; `None` if the gateway
     /// is not waiting for the rest of an object.
-    object_started_at: Option<Instant>,
+    object_wait_started_at: Option<Instant>,
     _connection: ConnectionTask,
 }
 
@@ -66,7 +66,7 @@
             StatusCode::OK => Ok(ResponseStream {
                 body: response.into_body(),
                 framer: JsonFramer::new(max_object_bytes),
-                object_started_at: None,
+                object_wait_started_at: None,
                 _connection: connection,
             }),
             status => Err(DiscoveryError::UnexpectedStatus(status)),
@@ -80,7 +80,7 @@
     pub fn next_list(&mut self) -> Result<Option<EndpointList<'_>>, DiscoveryError> {
         let Some(object) = self.framer.next_object()? else { return Ok(None) };
         let list = serde_json::from_slice(object)?;
-        self.object_started_at = None;
+        self.object_wait_started_at = None;
         Ok(Some(list))
     }
 
@@ -93,15 +93,15 @@
     pub async fn read_piece(&mut self, idle_timeout: Duration) -> Result<(), DiscoveryError> {
         let now = Instant::now();
         if self.framer.in_object() {
-            self.object_started_at.get_or_insert(now);
+            self.object_wait_started_at.get_or_insert(now);
         }
-        let deadline = match self.object_started_at {
+        let deadline = match self.object_wait_started_at {
             Some(started_at) => (started_at + OBJECT_TIMEOUT).min(now + STALL_TIMEOUT),
             None => now + idle_timeout,
         };
         let frame = match timeout_at(deadline, self.body.frame()).await {
             Ok(frame) => frame.ok_or(DiscoveryError::ResponseEnded)??,
-            Err(_) if self.object_started_at.is_some() => return Err(DiscoveryError::ObjectTimeout),
+            Err(_) if self.object_wait_started_at.is_some() => return Err(DiscoveryError::ObjectTimeout),
             Err(_) => return Err(DiscoveryError::IdleTimeout),
         };
         if let Ok(piece) = frame.into_data() {
--- a/src/net/discovery/timing.rs
+++ b/src/net/discovery/timing.rs
@@ -12,13 +12,14 @@
 /// for the rest of a response to a request for a complete list. Also the upper limit of the request timeout,
 /// whatever the drain grace.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time limit from the first to the last byte of an object, even if its bytes arrive steadily. Also the time
-/// limit from the response head to the end of a complete list.
+/// Time limit for the rest of a partly received object, even if its bytes arrive steadily. The time is
+/// counted from when the watcher begins to wait for the rest. Also the time limit from the response head to
+/// the end of a complete list.
 pub(super) const OBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without a byte after which a watch is reopened. The agent sends an empty line every 2 s on an idle
 /// watch. If the line is missing, the connection may be dead although the agent is alive. The agent may then
-/// have a change that it cannot send, and part of the 6 s within which the gateway must receive the change may
-/// already have passed. If discovery itself is down, reopening the watch costs nothing.
+/// have a change that it cannot send, and part of the 6 s within which the gateway must receive the change
+/// may already have passed. If discovery itself is down, reopening the watch costs nothing.
 pub(super) const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
 /// A complete list is requested when the agent responded to a watch request at least this long ago and has
 /// not sent a byte on any watch since, not even an empty line: the agent may have changes that its watches do
@@ -47,8 +48,8 @@
 }
 
 impl RequestTiming {
-    /// Returns the timing with which a recovered agent is reached within `drain_grace`, if that is longer
-    /// than two initial backoffs.
+    /// Returns the timing with which a recovered agent is reached within `drain_grace`, if `drain_grace` is
+    /// longer than two initial backoffs.
     pub fn for_drain_grace(drain_grace: Duration) -> Self {
         let timeout = drain_grace.mul_f64(REQUEST_TIMEOUT_SHARE);
         let max_backoff = drain_grace.mul_f64(MAX_BACKOFF_SHARE);
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -72,8 +72,8 @@
         Ok(reply)
     }
 
-    /// Handles one event and replaces `self.actions` with the actions that it causes. Returns the instance to
-    /// which the event is addressed.
+    /// Handles one event and replaces `self.actions` with the actions that the event causes. Returns the
+    /// number of the instance to which the event is addressed.
     fn handle_event(
         &mut self,
         now: Millis,
--- a/src/simulator/layout.rs
+++ b/src/simulator/layout.rs
@@ -47,7 +47,7 @@
         pub const CODE: u16 = 1050;
     }
 
-    /// `ROSTER_CHANGE`: the endpoint list has changed.
+    /// `ROSTER_CHANGE`: the endpoint list has changed or could not be fetched.
     pub mod endpoints_changed {
         pub const CODE: u16 = 1080;
         pub const UPDATE: usize = 6; // kind
@@ -105,7 +105,7 @@
         pub const ELAPSED: usize = 11; // took
     }
 
-    /// `RECKONED`: the counter has replied.
+    /// `RECKONED`: a call to the counter service has ended.
     pub mod counter_replied {
         pub const CODE: u16 = 1060;
         pub const ELAPSED: usize = 6; // took
