--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -13,8 +13,8 @@
 use tokio::sync::Notify;
 
 /// Longest time to receive a complete request, ms. On a new connection this includes the wait for its first
-/// bytes. The protocol requires that a client without progress is disconnected within 3 s; the timeout is
-/// shorter because the idle reaper checks the connections only at intervals. The `request_body`
+/// bytes. The protocol requires that a client that makes no progress is disconnected within 3 s; the
+/// timeout is shorter because the idle reaper checks the connections only at intervals. The `request_body`
 /// module applies the same limit to reading a body.
 pub const READ_TIMEOUT: Millis = 2000.0;
 /// Longest time to pass a response to the socket, ms. If the client reads too slowly, so that the response
@@ -69,7 +69,6 @@
     unread_check: Rc<dyn UnreadBytesCheck>,
     phase: Cell<Phase>,
     phase_start: Cell<Millis>,
-    /// Whether any byte has been received on the connection.
     any_bytes_received: Cell<bool>,
     /// Whether bytes were read while the current request was being processed or its response was being
     /// written. They belong to the next request.
@@ -197,12 +196,12 @@
     /// as well. On an idle connection, the time since the last response was written is subtracted; on a
     /// connection that has received no bytes, the result is 0.
     pub fn linger_time(&self, now: Millis) -> Duration {
-        let left = match self.phase() {
+        let remaining = match self.phase() {
             Phase::Idle => self.phase_start() + LINGER_TIMEOUT - now,
             _ if self.any_bytes_received.get() => LINGER_TIMEOUT,
             _ => 0.0,
         };
-        Duration::from_secs_f64(left.max(0.0) / 1000.0)
+        Duration::from_secs_f64(remaining.max(0.0) / 1000.0)
     }
 
     /// Asks the connection's task to close the connection. The task ignores the signal unless
--- a/src/net/client/connection_task.rs
+++ b/src/net/client/connection_task.rs
@@ -13,8 +13,8 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// Maximum size of a connection's read buffer, bytes. The HTTP parser answers a request whose head does not
-/// fit with an error.
+/// Maximum size of a connection's read buffer, bytes. If the head of a request does not fit, the HTTP
+/// parser answers the request with an error.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Serves a connection until it is closed or aborted, or its client disconnects.
--- a/src/net/client/disconnect.rs
+++ b/src/net/client/disconnect.rs
@@ -9,12 +9,13 @@
 use tokio::io::Interest;
 
 /// Completes once the client has disconnected (closed the connection, closed its sending side or reset the
-/// connection) and one of its requests is being processed, in either order.
+/// connection) and one of its requests is being processed. The client may disconnect before or after the
+/// processing starts.
 ///
 /// The HTTP parser notices a disconnect only if no unread bytes follow the request; the kernel reports the
-/// disconnect in any case. The caller must poll this future in the same task as the HTTP connection and after
-/// it: a request starts or stops being processed only while the HTTP connection is polled, and nothing else
-/// wakes this future when that happens. The future is cancel safe.
+/// disconnect in any case. The caller must poll this future in the same task as the HTTP connection, and
+/// after the HTTP connection: a request starts or stops being processed only while the HTTP connection is
+/// polled, and nothing else wakes this future when that happens. The future is cancel safe.
 pub async fn disconnected_while_processing(connection: &Connection) {
     // The socket becomes ready for this interest when the client disconnects. Urgent data has the same effect
     // and is treated as a disconnect.
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -8,8 +8,8 @@
 
 /// A connection is stalled if it takes longer than this, ms, to receive a request. On a new connection this
 /// time includes the wait for the first bytes; on an idle connection it starts with the first bytes.
-/// If the first bytes were read before the previous response was written, it starts when that response has
-/// been written.
+/// If the first bytes were read before the previous response was written, the time starts when that response
+/// has been written.
 pub const STALL_TIMEOUT: Millis = 100.0;
 /// Time, ms, for which a closing connection is not evicted, so that its client can receive the last response.
 const CLOSING_GRACE: Millis = STALL_TIMEOUT;
@@ -22,7 +22,7 @@
     Stalled,
     /// The connection is between two requests.
     Idle,
-    /// The connection was accepted, or started to receive a request, within the last [`STALL_TIMEOUT`].
+    /// The connection has been in [`Phase::Reading`] for at most [`STALL_TIMEOUT`].
     Recent,
 }
 
@@ -61,8 +61,8 @@
     connection: &'a Rc<Connection>,
 }
 
-/// Makes the task of one connection close it, so that a new connection can be accepted. Returns false if no
-/// connection can be closed; new connections then have to wait.
+/// Makes the task of one connection close that connection, so that a new one can be accepted. Returns false
+/// if no connection can be closed; new connections then have to wait.
 pub fn evict_one(connections: &ConnectionTable, now: Millis) -> bool {
     let entries = connections.entries();
     let candidates = entries.values().filter(|connection| !connection.is_aborted());
--- a/src/net/client/head_counter.rs
+++ b/src/net/client/head_counter.rs
@@ -1,6 +1,6 @@
 //! Counts the request heads that have arrived on a connection and that the handler has not received yet.
 
-/// Counts the ends of request heads (`CR LF CR LF`) among the bytes of a connection.
+/// Counts the ends of request heads (`CR LF CR LF`) among the bytes received on a connection.
 ///
 /// If a body contains these four bytes, they are counted as a pending head. The counter is reset when the
 /// first bytes arrive on an idle connection, so the only effect is that the connection may stay open a little
--- a/src/net/client/instrumented_stream.rs
+++ b/src/net/client/instrumented_stream.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    fn poll_write_with(
+    fn poll_socket_write(
         &self,
         cx: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
@@ -86,7 +86,7 @@
 
 impl AsyncWrite for InstrumentedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_write_with(cx, |stream| stream.try_write(buf))
+        self.poll_socket_write(cx, |stream| stream.try_write(buf))
     }
 
     fn poll_write_vectored(
@@ -94,7 +94,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_write_with(cx, |stream| stream.try_write_vectored(bufs))
+        self.poll_socket_write(cx, |stream| stream.try_write_vectored(bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/net/client/request_error.rs
+++ b/src/net/client/request_error.rs
@@ -17,7 +17,7 @@
     UnknownPath,
     /// The class header is absent or differs from the class in the path.
     ClassMismatch,
-    /// The class in the path has a name but no settings.
+    /// The class in the path is a configured name, but the settings contain no such class.
     UnknownClass,
     /// The method is not the one that the class requires.
     MethodNotAllowed,
--- a/src/net/client/request_handler.rs
+++ b/src/net/client/request_handler.rs
@@ -63,7 +63,8 @@
     pub async fn handle(&self, request: Request<Incoming>, connection: &Connection) -> ClientResponse {
         let mut response = self.process(request, connection).await.unwrap_or_else(response::from_error);
         // While the gateway is saturated, an open connection blocks the clients that wait to connect. A
-        // connection on which further requests have arrived is not closed, because they would be lost.
+        // connection on which further requests have arrived is not closed, because those requests would be
+        // lost.
         if (self.draining.get() || self.saturated.get()) && connection.has_no_further_request() {
             response::announce_close(&mut response);
         }
--- a/src/net/client/request_parser.rs
+++ b/src/net/client/request_parser.rs
@@ -135,7 +135,7 @@
 }
 
 /// Returns how long the client still waits, ms. The result is at most the deadline of the class, if one is
-/// set, so that no request is kept for longer.
+/// set, so that no request is kept for longer than that deadline.
 fn parse_time_left(headers: &HeaderMap, class: &Class) -> Result<Millis, RequestError> {
     let seconds = single_value(headers, &TIME_LEFT)?.and_then(parse_decimal);
     let time_left = seconds.map(|seconds| seconds * 1000.0);
--- a/src/net/client/response.rs
+++ b/src/net/client/response.rs
@@ -22,7 +22,7 @@
 }
 
 /// Builds the response to a request that failed with an error before it was submitted. The response closes
-/// the connection, because the bytes that follow may not be the start of another request.
+/// the connection, because it is unknown whether the bytes that follow are the start of another request.
 pub fn from_error(error: RequestError) -> ClientResponse {
     let mut response = plain_text(error.status(), error.response_text());
     announce_close(&mut response);
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -30,7 +30,7 @@
 
     /// Receives the outcome of an attempt and, if the server sent a valid response of any status, the body of
     /// that response.
-    fn attempt_ended(&self, id: RequestId, attempt: u8, outcome: Outcome, body: Option<Bytes>);
+    fn attempt_ended(&self, id: RequestId, attempt_number: u8, outcome: Outcome, body: Option<Bytes>);
 }
 
 /// Parameters of an attempt.
@@ -161,8 +161,8 @@
     connection: &mut Connection,
 ) -> Result<Response<Incoming>, SendError> {
     connection.sender.ready().await.map_err(|_| SendError::Closed)?;
-    let (check_owner, id, server) = (owner.clone(), spec.id, spec.server);
-    connection.exchange.begin(Box::new(move || check_owner.check_may_begin(id, server).is_ok()));
+    let (owner_for_check, id, server) = (owner.clone(), spec.id, spec.server);
+    connection.exchange.begin(Box::new(move || owner_for_check.check_may_begin(id, server).is_ok()));
     // Computed after the connection is open, because opening it may have used much of the attempt's time.
     let time_left = spec.timeout_at - owner.now();
     let request = spec.forwarded_request.to_upstream(spec.address, time_left);
--- a/src/net/upstream/closable_socket.rs
+++ b/src/net/upstream/closable_socket.rs
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     /// The error of the operation, or `NotConnected` if the socket has been closed.
-    pub(super) fn with<T>(
+    pub(super) fn with_stream<T>(
         &self,
         operation: impl FnOnce(&mut TcpStream) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -60,8 +60,8 @@
         self.address
     }
 
-    /// Whether the connection is known to be closed. If the result is false, the server may still have closed
-    /// the connection without the runtime having noticed yet.
+    /// Whether the connection is known to be closed. Even if the result is false, the server may have closed
+    /// the connection, because the runtime may not have noticed the close yet.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/src/net/upstream/instrumented_stream.rs
+++ b/src/net/upstream/instrumented_stream.rs
@@ -75,7 +75,7 @@
             let reason = "the request has ended, its client disconnected or the server accepts no requests";
             return Poll::Ready(Err(io::Error::new(io::ErrorKind::ConnectionAborted, reason)));
         }
-        self.socket.with(|stream| Poll::Ready(check_no_unread_bytes(stream)))
+        self.socket.with_stream(|stream| Poll::Ready(check_no_unread_bytes(stream)))
     }
 
     fn record_write(&self, result: &Poll<io::Result<usize>>) {
@@ -105,14 +105,14 @@
 
 impl AsyncRead for InstrumentedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        self.socket.with(|stream| Pin::new(stream).poll_read(cx, buf))
+        self.socket.with_stream(|stream| Pin::new(stream).poll_read(cx, buf))
     }
 }
 
 impl AsyncWrite for InstrumentedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         ready!(self.check_first_write())?;
-        let result = self.socket.with(|stream| Pin::new(stream).poll_write(cx, buf));
+        let result = self.socket.with_stream(|stream| Pin::new(stream).poll_write(cx, buf));
         self.record_write(&result);
         result
     }
@@ -123,7 +123,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         ready!(self.check_first_write())?;
-        let result = self.socket.with(|stream| Pin::new(stream).poll_write_vectored(cx, bufs));
+        let result = self.socket.with_stream(|stream| Pin::new(stream).poll_write_vectored(cx, bufs));
         self.record_write(&result);
         result
     }
@@ -133,11 +133,11 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.socket.with(|stream| Pin::new(stream).poll_flush(cx))
+        self.socket.with_stream(|stream| Pin::new(stream).poll_flush(cx))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.socket.with(|stream| Pin::new(stream).poll_shutdown(cx))
+        self.socket.with_stream(|stream| Pin::new(stream).poll_shutdown(cx))
     }
 }
 
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -24,8 +24,8 @@
     pub(super) keep_alive: bool,
 }
 
-/// Reads a response completely. Only after that is the response known to be valid, and only after that can
-/// its connection be used for another request.
+/// Reads a response completely. Until the response has been read to its end, it is unknown whether it is
+/// valid, and its connection must not be used for another request.
 ///
 /// # Errors
 /// The outcome of the attempt if the response is invalid or incomplete. The caller must then close the
