--- a/src/policy/batched_usage.rs
+++ b/src/policy/batched_usage.rs
@@ -47,7 +47,7 @@
 const MIN_LOCAL_SHARE: f64 = 0.25;
 /// Minimum length, ms, of the time span over which remote units are spread. The span normally begins at the
 /// previous read.
-const MIN_READ_INTERVAL: Millis = 1.0;
+const MIN_REMOTE_UNITS_SPAN: Millis = 1.0;
 
 /// A rejection probability (the suppression factor) and the time at which it was computed.
 #[derive(Clone, Copy)]
@@ -88,7 +88,8 @@
     bucket_deficit: f64,
     /// Whether a counter call for this tenant has ended, with or without a reply.
     first_call_ended: bool,
-    /// Units that other gateways are assumed to have forwarded while the counter could not be read.
+    /// Units that other gateways are assumed to have forwarded, because the last read was too old. The next
+    /// read of forwarded units resets this number to 0.
     assumed_remote_units: f64,
 }
 
@@ -117,7 +118,7 @@
 
     // ---- Counting -----------------------------------------------------------------------------
 
-    /// Drops the window's buckets that begin at or before the start of the sliding window, and refills the
+    /// Drops the buckets that begin at or before `now` minus the width of the sliding window, and refills the
     /// token bucket for `seconds` of elapsed time.
     pub(super) fn advance_to(&mut self, now: Millis, seconds: f64) {
         self.window.drop_before(now - self.quota.window());
@@ -329,7 +330,7 @@
         if units <= 0.0 {
             return;
         }
-        let span_start = remote.previous_read_at.min(now - MIN_READ_INTERVAL);
+        let span_start = remote.previous_read_at.min(now - MIN_REMOTE_UNITS_SPAN);
         let start_in_window = span_start.max(now - self.quota.window());
         units *= (now - start_in_window) / (now - span_start);
         let slice_count = ((now - start_in_window) / BUCKET_WIDTH).ceil().max(1.0);
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -1,9 +1,9 @@
 //! A plan's hard ceiling: each gateway keeps a token bucket with an equal part of the tenant's ceiling.
 //!
-//! This keeps the gateways from exceeding the ceiling together when they cannot communicate, have just
-//! restarted or cannot reach the counter. The ceiling holds independently of the counter, because the parts
-//! add up to the whole ceiling and each part is empty when its gateway starts. The cost is that traffic
-//! concentrated on one gateway has to wait until the part of that gateway has refilled.
+//! With these buckets, the gateways together do not exceed the ceiling even if they cannot communicate,
+//! have just restarted or cannot reach the counter. The ceiling holds independently of the counter, because
+//! the parts add up to the whole ceiling and each part is empty when its gateway starts. The cost is that
+//! traffic concentrated on one gateway has to wait until the part of that gateway has refilled.
 
 use crate::ids::Millis;
 use crate::settings::Plan;
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -23,8 +23,8 @@
 const CONGESTION_THRESHOLD: f64 = 1.5;
 /// While the counter is congested, a tenant's usage as last read is trusted up to this age, ms.
 const MAX_CACHE_AGE: Millis = 1500.0;
-/// Target of the queueing delay, as a share of [`Settings::counter_timeout`]. With this target the counter is
-/// never idle, and most calls are answered in time.
+/// Target of the queueing delay, as a share of [`Settings::counter_timeout`]. The share is above 0 so that
+/// the counter is never idle, and below 1 so that most calls are answered in time.
 const TARGET_QUEUEING_DELAY_SHARE: f64 = 0.5;
 /// Lower bound of the target queueing delay, ms.
 const MIN_TARGET_QUEUEING_DELAY: Millis = 1.0;
@@ -74,9 +74,10 @@
     /// A call has failed, and no call had succeeded in the [`UNRESPONSIVE_AFTER`] ms before. Reset by the
     /// next call that succeeds.
     unresponsive: bool,
-    /// Pause between calls to an unresponsive counter, ms.
+    /// Length of the last pause between calls to an unresponsive counter, ms; 0 if there has been no pause
+    /// since the last successful call.
     retry_pause: Millis,
-    /// End of the last pause, which may have passed. `None` if there has been no pause since the last
+    /// Time at which the last pause ends or has ended. `None` if there has been no pause since the last
     /// successful call.
     paused_until: Option<Millis>,
     backoff_factor: f64,
--- a/src/policy/counter_sync.rs
+++ b/src/policy/counter_sync.rs
@@ -16,7 +16,7 @@
     previous_total: f64,
 }
 
-/// Units that other gateways have counted since the previous read.
+/// Units that other gateways have added to the counter since the previous read.
 pub(super) struct RemoteUnits {
     pub(super) units: f64,
     /// Time of the previous read. If there was no previous read, the start of the period in which the
@@ -121,7 +121,7 @@
     }
 
     /// Records the total that the counter returned, and returns the units of other gateways: the rise since
-    /// the last total, less this gateway's own units.
+    /// the last total, or since 0 if the counter has restarted, less this gateway's own units.
     pub(super) fn record_total(&mut self, now: Millis, total: f64) -> RemoteUnits {
         let sent = self.units_in_flight.take().unwrap_or(0.0);
         // A total below the last total plus this call's units means that the counter restarted empty.
--- a/src/policy/low_traffic.rs
+++ b/src/policy/low_traffic.rs
@@ -35,8 +35,8 @@
 /// Smaller differences are not corrected, which saves calls.
 const MAX_TOTAL_LAG: f64 = 1.0;
 /// A total that is above the refilled units by more than this multiple of the burst is lowered to the
-/// refilled units plus this multiple of the burst. Such a total arises when two gateways raise the total of
-/// one key at the same time.
+/// refilled units plus this multiple of the burst. Such a total can arise when two gateways raise the total
+/// of one key at the same time.
 const MAX_TOTAL_LEAD: f64 = 2.0;
 /// Weight of a new admission decision in the recent rejection ratio. Only decisions that are based on the
 /// observed usage change the ratio.
@@ -82,7 +82,8 @@
 pub(super) struct ReservationReply {
     /// Usage of the quota including the request for which the reservation was made, units.
     pub(super) observed_usage: f64,
-    /// Units to add to the key to correct its total, if necessary.
+    /// Units to add to the key to correct its total; negative to lower the total. `None` if the total needs
+    /// no correction or belongs to a key whose period has ended.
     pub(super) correction: Option<f64>,
 }
 
@@ -176,8 +177,8 @@
         self.pending_calls.push_back(PendingCall { key, reserved_for });
     }
 
-    /// Removes the oldest pending call for a key, because calls for one key end in order. Returns the request
-    /// for which the call made a reservation, if any.
+    /// Removes the call that has ended from the pending calls. Calls for one key end in order, so the oldest
+    /// pending call for `key` is removed. Returns the request for which the call made a reservation, if any.
     pub(super) fn call_ended(&mut self, key: CounterKey) -> Option<RequestId> {
         let position = self.pending_calls.iter().position(|call| call.key == key)?;
         self.pending_calls.remove(position)?.reserved_for
@@ -215,9 +216,9 @@
 
     // ---- Admission ----------------------------------------------------------------------------
 
-    /// Decides whether the quota admits a request. The decision is based on the observed usage or, if it is
-    /// `None`, on the recent rejection ratio. A decision based on the observed usage changes the recent
-    /// rejection ratio. `roll` is a uniform draw from 0 to 1.
+    /// Decides whether the quota admits a request. The decision is based on the observed usage or, if the
+    /// usage has not been read for the request, on the recent rejection ratio. A decision based on the
+    /// observed usage changes the recent rejection ratio. `roll` is a uniform draw from 0 to 1.
     pub(super) fn decide_admission(&mut self, now: Millis, check: &QuotaCheck, roll: f64) -> bool {
         let burst = self.quota.burst;
         let admitted = match check.observed_usage {
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -23,7 +23,7 @@
     }
 
     /// Dispatches queued requests in descending order of value. Rejects requests that can no longer meet
-    /// their latency objective and, if the queue is bounded, requests beyond its maximum length.
+    /// their latency objective and, if the maximum length of the queue applies, requests beyond this length.
     pub(super) fn process_queue(&mut self, now: Millis) {
         for (position, queued) in self.drain_queue_by_value(now).into_iter().enumerate() {
             let id = queued.id;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -38,7 +38,8 @@
 pub(super) struct QuotaCheck {
     /// Whether the counter call that makes the request's reservation is still in flight.
     pub(super) awaiting_counter: bool,
-    /// The quota has admitted the request; the check is not repeated.
+    /// Whether the quota has admitted the request. An admitted request is not checked against the quota
+    /// again.
     pub(super) admitted: bool,
     pub(super) reservation: Option<Reservation>,
     /// Usage of the quota including this request, units, from the reply to its reservation or from a cached
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -41,7 +41,8 @@
     /// Number of the tenant's attempts that this gateway has in flight.
     in_flight: f64,
     pub(super) ceiling: CeilingBucket,
-    /// When the token buckets were last refilled.
+    /// Time up to which the token buckets have been refilled; initially the time at which this gateway
+    /// started.
     refilled_at: Millis,
     pub(super) usage: Usage,
 }
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Whether the plan has a quota, so that the tenant's units have to be counted.
+    /// Whether the plan has a quota. If it has none, the tenant's units are neither counted nor sent to the
+    /// counter.
     pub(super) fn has_quota(&self) -> bool {
         self.plan.rate > 0.0
     }
