--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -5,7 +5,7 @@
 use crate::ids::Millis;
 
 /// Initial limit: attempts in flight to each server, summed over all gateways. While a gateway uses a subset
-/// of the servers, its limit does not increase above this value.
+/// of the servers, this is also the upper bound for increases of its limit.
 const INITIAL_ATTEMPTS_PER_SERVER: f64 = 8.0;
 /// Lower bound of the limit: attempts in flight to each server, summed over all gateways.
 const MIN_ATTEMPTS_PER_SERVER: f64 = 2.0;
@@ -120,8 +120,8 @@
     }
 }
 
-/// Decreases the limit, but not below the minimum. With so few attempts in flight, the servers cannot be slow
-/// because of this gateway's load, and decreasing the limit without end would only reduce the throughput.
+/// Decreases the limit, but not below the minimum. With so few attempts in flight, this gateway's load is
+/// assumed not to be the cause of slow responses, and a lower limit would only reduce the throughput.
 fn decrease(limit: f64, limit_step: f64, servers_per_gateway: f64, subset_active: bool) -> f64 {
     let minimum = MIN_ATTEMPTS_PER_SERVER * servers_per_gateway;
     let minimum = if subset_active { minimum } else { minimum.max(MIN_LIMIT) };
--- a/src/policy/endpoint_block.rs
+++ b/src/policy/endpoint_block.rs
@@ -22,7 +22,7 @@
 pub(super) struct LocalityMask {
     pub(super) locality: Locality,
     /// Bit mask: bit `i` is set if the server at slot `i` is in the locality.
-    pub(super) members: u64,
+    pub(super) slot_mask: u64,
 }
 
 /// One entry of a block: a server and the data that the index keeps about it.
@@ -58,7 +58,7 @@
 impl Block {
     /// All masks of the block. [`Block::update_health_bits`] relies on the order of the first three.
     fn masks(&mut self) -> impl Iterator<Item = &mut u64> {
-        let locality_masks = self.localities.iter_mut().map(|mask| &mut mask.members);
+        let locality_masks = self.localities.iter_mut().map(|mask| &mut mask.slot_mask);
         [&mut self.available, &mut self.unhealthy_reachable, &mut self.slow_starting]
             .into_iter()
             .chain(locality_masks)
@@ -69,19 +69,19 @@
     }
 
     /// Bit mask of the servers in a locality.
-    pub(super) fn members_of(&self, locality: Locality) -> u64 {
-        self.search_locality(locality).map_or(0, |index| self.localities[index].members)
+    pub(super) fn locality_slot_mask(&self, locality: Locality) -> u64 {
+        self.search_locality(locality).map_or(0, |index| self.localities[index].slot_mask)
     }
 
-    fn add_to_locality(&mut self, locality: Locality, members: u64) {
+    fn add_to_locality(&mut self, locality: Locality, slot_mask: u64) {
         match self.search_locality(locality) {
-            Ok(index) => self.localities[index].members |= members,
-            Err(index) => self.localities.insert(index, LocalityMask { locality, members }),
+            Ok(index) => self.localities[index].slot_mask |= slot_mask,
+            Err(index) => self.localities.insert(index, LocalityMask { locality, slot_mask }),
         }
     }
 
     fn drop_empty_localities(&mut self) {
-        self.localities.retain(|mask| mask.members != 0);
+        self.localities.retain(|mask| mask.slot_mask != 0);
     }
 
     /// Sets the locality bits of the server at `slot` to the zone and cell of its list entry.
@@ -89,11 +89,11 @@
         let endpoint = &self.slots[slot].tracked_endpoint.endpoint;
         let localities = [Locality::Zone(endpoint.zone), Locality::Cell(endpoint.cell)];
         let bit = 1 << slot;
-        if localities.iter().all(|locality| self.members_of(*locality) & bit != 0) {
+        if localities.iter().all(|locality| self.locality_slot_mask(*locality) & bit != 0) {
             return;
         }
         for mask in &mut self.localities {
-            mask.members &= !bit;
+            mask.slot_mask &= !bit;
         }
         for locality in localities {
             self.add_to_locality(locality, bit);
@@ -159,7 +159,7 @@
         self.unhealthy_reachable |= upper.unhealthy_reachable << shift;
         self.slow_starting |= upper.slow_starting << shift;
         for mask in &upper.localities {
-            self.add_to_locality(mask.locality, mask.members << shift);
+            self.add_to_locality(mask.locality, mask.slot_mask << shift);
         }
         self.slots.append(&mut upper.slots);
     }
--- a/src/policy/endpoint_health.rs
+++ b/src/policy/endpoint_health.rs
@@ -22,14 +22,14 @@
 /// Maximum number of times that the duration of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Factor on the duration of an ejection while the gateway uses a subset of the servers. A server then gets a
-/// request of this gateway only every few seconds, and an ejection has to last longer than the time between
+/// request from this gateway only every few seconds, and an ejection has to last longer than the time between
 /// two requests.
 const SUBSET_EJECTION_FACTOR: f64 = 3.0;
-/// Time for which a server gets no further requests after it rejected a request, probably for lack of
-/// capacity, in ms.
+/// Time, in ms, for which this gateway sends no further requests to a server that has rejected a request,
+/// probably for lack of capacity.
 const REJECTION_PAUSE: Millis = 100.0;
 /// Factor on [`REJECTION_PAUSE`] while the gateway uses a subset of the servers, because a server then gets a
-/// request of this gateway only every few seconds.
+/// request from this gateway only every few seconds.
 const SUBSET_PAUSE_FACTOR: f64 = 20.0;
 
 /// Health of a server at a point in time. The index derives its masks and counts from it.
@@ -106,8 +106,9 @@
         self.slow_start_tokens.spend();
     }
 
-    /// Updates the records with the outcome of an attempt that took `elapsed` ms. `subset_active` says that
-    /// this gateway uses a subset of the servers and sends each of them a request only every few seconds.
+    /// Updates the records with the outcome of an attempt that took `elapsed` ms. `subset_active` is true
+    /// while this gateway uses a subset of the servers, each of which gets a request from this gateway only
+    /// every few seconds.
     pub(super) fn record_outcome(
         &mut self,
         now: Millis,
@@ -151,8 +152,9 @@
     }
 
     /// Adds the duration of an attempt to the mean if the attempt succeeded, timed out, or was cancelled
-    /// after more than the mean. A cancelled attempt would have taken at least `elapsed`. An attempt that was
-    /// rejected or failed in another way shows nothing about the server's response time.
+    /// when it had already taken longer than the mean. A cancelled attempt would have taken at least
+    /// `elapsed`. An attempt that was rejected or failed in another way shows nothing about the server's
+    /// response time.
     fn record_latency(&mut self, now: Millis, outcome: Outcome, elapsed: Millis, subset_active: bool) {
         let slow_when_cancelled =
             outcome == Outcome::Cancelled && elapsed > self.mean_latency.get().unwrap_or(0.0);
--- a/src/policy/endpoint_index.rs
+++ b/src/policy/endpoint_index.rs
@@ -8,7 +8,7 @@
 use crate::ids::{Millis, ServerId};
 use std::collections::BTreeSet;
 
-/// Multiplier of the hash that gives each gateway its own order of servers: 2^64 divided by the golden ratio.
+/// Multiplier in the hash that determines a gateway's order of servers: 2^64 divided by the golden ratio.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 const HASH_ROTATION: u32 = 29;
 
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -21,9 +21,9 @@
 use crate::settings::{DeduplicationScope, Idempotency};
 use rand_pcg::Pcg64Mcg;
 
-/// The size of the subset is the number of first attempts that the gateway sends in this time, in ms, but at
-/// least [`MIN_SUBSET_SIZE`]. Above this minimum, each member gets a request every few seconds, however
-/// many servers there are.
+/// Time, in ms, from which the size of the subset is calculated: the number of first attempts that the
+/// gateway sends in this time at its mean rate, but at least [`MIN_SUBSET_SIZE`]. Above this minimum, each
+/// member gets a request every few seconds, however many servers there are.
 const SUBSET_TRAFFIC_WINDOW: Millis = 3000.0;
 /// Minimum number of servers in the subset.
 const MIN_SUBSET_SIZE: f64 = 8.0;
@@ -41,7 +41,7 @@
 /// Factor on the lower bound of a cost, so that a rounding error does not exclude the cheapest server.
 const ROUNDING_MARGIN: f64 = 0.999;
 
-/// The servers to which the idempotency of a request's class allows the next attempt.
+/// The servers to which the next attempt of a request may be sent, given the idempotency of its class.
 #[derive(Clone, Copy)]
 enum AllowedServers {
     All,
@@ -189,8 +189,8 @@
         cheapest.server
     }
 
-    /// The servers to which the idempotency of the request's class allows the next attempt. All servers are
-    /// allowed if it is certain that no server has executed the request.
+    /// The servers to which the next attempt may be sent, given the idempotency of the request's class. All
+    /// servers are allowed if it is certain that no server has executed the request.
     fn allowed_servers(&self, request: &TrackedRequest) -> AllowedServers {
         let Some(first) = request.first_possibly_executed_attempt() else { return AllowedServers::All };
         let first_endpoint = self.index.get(first.server).map(|tracked| &tracked.endpoint);
@@ -248,7 +248,7 @@
             }
             slot_mask &= match allowed {
                 AllowedServers::All => u64::MAX,
-                AllowedServers::SameLocality(locality) => block.members_of(locality),
+                AllowedServers::SameLocality(locality) => block.locality_slot_mask(locality),
                 AllowedServers::None => 0,
             };
             let block_len = block.slots.len();
--- a/src/policy/mean_latency.rs
+++ b/src/policy/mean_latency.rs
@@ -16,7 +16,7 @@
         });
     }
 
-    /// The mean, in ms. A mean of 0 holds no information and is returned as `None`.
+    /// The mean, in ms. A mean of 0 is treated as missing and returned as `None`.
     pub(super) fn get(&self) -> Option<Millis> {
         self.0.filter(|mean| *mean > 0.0)
     }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -11,13 +11,14 @@
 pub(super) struct Attempt {
     pub(super) server: ServerId,
     pub(super) started_at: Millis,
-    /// Whether the attempt has not ended yet.
+    /// True from the start of the attempt until its end is reported.
     pub(super) in_flight: bool,
-    /// Whether the server may have executed the request. True until the outcome proves that it has not.
+    /// Whether the server may have executed the request. True unless the outcome of the attempt proves that
+    /// the server has not executed the request.
     pub(super) may_have_executed: bool,
 }
 
-/// The state of a request from its arrival until its last attempt has ended.
+/// The state of a request from its arrival until it is finished and none of its attempts is in flight.
 pub(super) struct TrackedRequest {
     pub(super) request: Request,
     pub(super) class: Class,
@@ -69,8 +70,9 @@
 
     /// Whether the request may have another attempt: the idempotency of the class and `max_attempts` allow an
     /// attempt, and no response to the client has started. A `max_attempts` of 0 means that there is no
-    /// limit. In a class with idempotency keys, an attempt is allowed only until one housekeeping interval
-    /// before the servers forget the key, counted from the start of the first attempt that may have executed.
+    /// limit. In a class with idempotency keys, servers remember a key for the `window` of the class. Another
+    /// attempt is allowed until one housekeeping interval before the end of this window, which begins with
+    /// the start of the first attempt whose server may have executed the request.
     pub(super) fn may_attempt_again(&self, now: Millis, max_attempts: u32) -> bool {
         let idempotency_allows = match (self.class.idempotency, self.first_possibly_executed_attempt()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -139,7 +139,8 @@
         true
     }
 
-    /// Starts a retry or hedged request if the retry budget allows it. Returns whether it was started.
+    /// Starts a retry or hedged request if the request, the retry budget and the concurrency limit allow it
+    /// and a server can be selected. Returns whether the attempt was started.
     pub(super) fn start_further_attempt(&mut self, now: Millis, id: RequestId) -> bool {
         let started = self.may_start_further_attempt(now, id)
             && self.retry_budget.is_available()
@@ -159,8 +160,8 @@
     }
 
     /// Handles the end of an attempt. `complete` says whether the request has its final answer. If the
-    /// request has no final answer and no other attempt in flight, it is retried; if a retry is not allowed
-    /// or the attempt was cancelled, it is rejected or failed.
+    /// request is not finished, has no final answer and has no other attempt in flight, it is retried. If
+    /// the attempt was cancelled or no retry can be started, the request is rejected or failed.
     pub(super) fn attempt_ended(
         &mut self,
         now: Millis,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -61,9 +61,9 @@
         SlowStartTokens { tokens: 0.0, refilled_at: started_at }
     }
 
-    /// Refills the bucket and returns whether an attempt may be sent. The refill rate is `rate_per_server`,
-    /// the attempts per millisecond to a warm server, but at least [`MIN_RATE_PER_SERVER`], times
-    /// `capacity_fraction`.
+    /// Refills the bucket and returns whether an attempt may be sent. The refill rate is `capacity_fraction`
+    /// times `rate_per_server`, the mean number of first attempts per millisecond to a warm server. For a
+    /// `rate_per_server` below [`MIN_RATE_PER_SERVER`], that constant is used instead.
     pub(super) fn refill(&mut self, now: Millis, capacity_fraction: f64, rate_per_server: f64) -> bool {
         let rate = capacity_fraction * rate_per_server.max(MIN_RATE_PER_SERVER);
         let refilled = self.tokens + (now - self.refilled_at).max(0.0) * rate;
--- a/tests/unit/endpoint_index.rs
+++ b/tests/unit/endpoint_index.rs
@@ -26,18 +26,18 @@
         let endpoint = &slot.tracked_endpoint.endpoint;
         let own = [Locality::Zone(endpoint.zone), Locality::Cell(endpoint.cell)];
         for mask in &block.localities {
-            assert_eq!(bit(mask.members), own.contains(&mask.locality));
+            assert_eq!(bit(mask.slot_mask), own.contains(&mask.locality));
         }
-        assert!(own.iter().all(|locality| bit(block.members_of(*locality))));
+        assert!(own.iter().all(|locality| bit(block.locality_slot_mask(*locality))));
     }
     let unused_bits = !bits_below(block.slots.len());
-    let members = block.localities.iter().fold(0, |all, mask| all | mask.members);
+    let members = block.localities.iter().fold(0, |all, mask| all | mask.slot_mask);
     assert_eq!(
         (block.available | block.unhealthy_reachable | block.slow_starting | members) & unused_bits,
         0
     );
     assert!(block.localities.windows(2).all(|pair| pair[0].locality < pair[1].locality));
-    assert!(block.localities.iter().all(|mask| mask.members != 0));
+    assert!(block.localities.iter().all(|mask| mask.slot_mask != 0));
 }
 
 /// Checks order, masks and counts against the health that was last set for each server.
