--- a/src/event.rs
+++ b/src/event.rs
@@ -62,7 +62,7 @@
     /// Time until the policy's deadline for the request, ms. The socket layer sets this deadline slightly
     /// before the client's, so that the response reaches the client in time.
     pub time_left: Millis,
-    /// Number of gateways that receive requests of the tenant.
+    /// Number of gateways that receive the tenant's requests.
     pub gateway_count: f64,
 }
 
@@ -117,8 +117,8 @@
         server: ServerId,
         /// How the attempt ended.
         outcome: Outcome,
-        /// Whether the request needs no further answer: it has been answered, from this attempt or otherwise,
-        /// or its client has disconnected.
+        /// Whether the request needs no further answer, because it has been answered with the response of
+        /// this attempt or in another way, or because its client has disconnected.
         complete: bool,
         /// Time since the start of the attempt, ms.
         elapsed: Millis,
--- a/src/net/connection_limits.rs
+++ b/src/net/connection_limits.rs
@@ -6,8 +6,8 @@
 /// to the counter (twice as many while the gateway moves to a new counter address), the connection to
 /// discovery, the listener and the descriptors of the runtime.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Share of all connections that is reserved for clients. The remainder is for connections to servers, of
-/// which a request uses one, or two while a hedged request is in flight.
+/// Share of all connections that is reserved for clients. The remainder is for connections to servers.
+/// A request uses one connection to a server, or two while a hedged request is in flight.
 const CLIENT_SHARE: f64 = 0.5;
 /// Share of the memory limit that all client and server connections together may use in the worst case.
 const MEMORY_SHARE: f64 = 0.6;
--- a/src/net/endpoint_registry.rs
+++ b/src/net/endpoint_registry.rs
@@ -47,7 +47,7 @@
 
 impl EndpointError {
     /// Returns the level at which the reason is logged. A collision is an error, because one of the two
-    /// servers gets no requests until either is renamed or the registered one is removed.
+    /// servers gets no requests until one of them is renamed or the registered server is removed.
     fn log_level(&self) -> Level {
         match self {
             EndpointError::ServerIdCollision { .. } => Level::Error,
@@ -60,7 +60,8 @@
 pub struct DecodedList {
     /// The valid entries, in the order of the list.
     pub endpoints: Vec<Endpoint>,
-    /// Whether all entries were valid. If one was ignored, the registry may lack a change.
+    /// Whether all entries were valid. If an entry was ignored, the registry may lack the
+    /// change that the entry describes.
     pub all_decoded: bool,
 }
 
@@ -172,8 +173,8 @@
     }
 }
 
-/// Derives the numeric id of a server from its id in the list, so that it is the same at every gateway. If
-/// the text after the last hyphen, or the whole id if it has no hyphen, is a hexadecimal number of eight
+/// Derives the numeric id of a server from its id in the list, so that all gateways use the same numeric id.
+/// If the text after the last hyphen, or the whole id if it has no hyphen, is a hexadecimal number of eight
 /// characters, the result is this number. Otherwise the result is the 32-bit FNV-1a hash of the whole id.
 fn server_id(id: &str) -> ServerId {
     const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -33,9 +33,9 @@
 
 pub use super::request_table::Answer;
 
-/// Time, ms, between the policy's deadline for a request and the client's later deadline. It is needed
-/// because the time until the client's deadline starts when the client sends the request, and the response
-/// takes time to reach the client.
+/// Time, ms, between the policy's deadline for a request and the client's later deadline. The event
+/// loop calculates the client's deadline from the time at which it receives the request, but the client waits
+/// from the time at which it sends the request, and the response takes time to reach the client.
 const RESPONSE_MARGIN: Millis = 20.0;
 /// The event loop answers a request as timed out this long, ms, before the client's deadline, if the request
 /// has no answer yet. The time is shorter than [`RESPONSE_MARGIN`], so that the policy can answer first.
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -14,7 +14,7 @@
 
 impl EventLoop {
     /// Starts an attempt. An attempt that cannot be made ends immediately. An attempt times out after
-    /// `timeout`, ms, but at the latest `RESPONSE_MARGIN` before the client's deadline.
+    /// `timeout`, ms, if it is set, but at the latest `RESPONSE_MARGIN` before the client's deadline.
     pub(super) fn start_attempt(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Option<Millis>) {
         let now = self.now();
         let mut requests = self.requests.borrow_mut();
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -11,10 +11,11 @@
 /// up to 0.4 s after the shutdown signal. Even after this delay, a new connection has `NEW_CONNECTION_GRACE`
 /// (see the client module) to send its first request.
 const CLOSE_IDLE_DELAY: Duration = Duration::from_millis(450);
-/// Upper bound, ms, of the request deadline that a shutdown waits for. A class may have a longer deadline.
+/// Maximum time, ms, that a shutdown waits for request deadlines, even if a class has a longer deadline.
+/// `REQUEST_WAIT_MARGIN` is added to this time.
 const MAX_REQUEST_WAIT: Millis = 3000.0;
-/// Time that a shutdown waits beyond the request deadline, before it answers the unanswered requests as timed
-/// out.
+/// Time that a shutdown waits beyond the longest request deadline, or beyond `MAX_REQUEST_WAIT` if that is
+/// shorter, before it answers the unanswered requests as timed out.
 const REQUEST_WAIT_MARGIN: Duration = Duration::from_millis(550);
 /// Maximum time that a shutdown waits at its end for connections to write their last responses.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(60);
@@ -44,9 +45,9 @@
     }
 }
 
-/// Waits until all requests are answered and all client connections are closed, or until the schedule ends.
-/// Then rejects later requests with status 503, answers the remaining requests as timed out, and waits up to
-/// `FLUSH_TIMEOUT` for the connections to write their last responses.
+/// Waits until all client connections are closed, or until the schedule's time for answering requests has
+/// passed. Then rejects later requests with status 503, answers the remaining requests as timed out, and
+/// waits up to `FLUSH_TIMEOUT` for the connections to write their last responses.
 pub async fn finish_requests(
     event_loop: &Rc<EventLoop>,
     clients: &ClientListener,
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -9,7 +9,8 @@
 /// Maximum number of connections that may wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// Opens a listener on an address, even if connections of a previous process are still in TIME_WAIT there.
+/// Opens a listener on an address, even if that address still has connections of a previous process in
+/// TIME_WAIT.
 ///
 /// # Errors
 /// Returns an error if the operating system does not allow the process to listen on the address.
--- a/src/net/supervisor.rs
+++ b/src/net/supervisor.rs
@@ -8,9 +8,9 @@
 /// restarted in a busy loop.
 const RESTART_DELAY: Duration = Duration::from_millis(20);
 
-/// Runs the future that `start` returns as a task. Each time the task panics, calls `start` again and runs
-/// the new future. This ends when a task completes or the returned handle is aborted. Must be called in a
-/// [`LocalSet`](tokio::task::LocalSet).
+/// Calls `start` and spawns its future as a task. Each time the task panics, calls `start` again and spawns
+/// the new future. The restarts end when a task completes or the returned handle is aborted. Aborting the
+/// handle also aborts the current task. Must be called in a [`LocalSet`](tokio::task::LocalSet).
 pub fn keep_running<F>(name: &'static str, start: impl Fn() -> F + 'static) -> AbortHandle
 where
     F: Future<Output = ()> + 'static,
--- a/src/net/timer_queue.rs
+++ b/src/net/timer_queue.rs
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub struct TimerQueue {
     timers: RefCell<BinaryHeap<Reverse<Timer>>>,
-    /// Wakes [`next`](TimerQueue::next) when the newly armed timer is due before all others.
+    /// Wakes [`next`](TimerQueue::next) when a newly armed timer is due before all others.
     earlier_timer: Notify,
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -39,10 +39,11 @@
 pub struct Class {
     /// Longest response time, ms, at which a response still has its full value.
     pub latency_objective: Millis,
-    /// Upper bound of the time that a client waits for a response, including its own retries, ms; 0 means
-    /// that the class sets no bound.
+    /// Upper bound of the time that a client waits for a response, including the client's own retries, ms;
+    /// 0 means that the class sets no bound.
     pub deadline: Millis,
-    /// Share of its full value, from 0 to 1, that a response has if it arrives after the latency objective.
+    /// Value of a response that arrives after the latency objective, as a share of its full value, from 0
+    /// to 1.
     pub late_value: f64,
     /// Value of one unit of a request in this class, relative to the other classes.
     pub priority_weight: f64,
