--- a/src/main.rs
+++ b/src/main.rs
@@ -44,7 +44,7 @@
     let local = tokio::task::LocalSet::new();
     // The gateway runs as a spawned task, because a future passed to `block_on` directly would be polled each
     // time any task wakes.
-    let serving = local.spawn_local(serve(config, config_path));
-    local.block_on(&runtime, serving)??;
+    let serve_task = local.spawn_local(serve(config, config_path));
+    local.block_on(&runtime, serve_task)??;
     Ok(())
 }
--- a/src/net/discovery/json_framer.rs
+++ b/src/net/discovery/json_framer.rs
@@ -18,7 +18,7 @@
     (memory_mb * 1e6 * OBJECT_MEMORY_SHARE).max(MIN_OBJECT_BYTES) as usize
 }
 
-/// Assembles objects from the pieces of a stream and scans each byte once. A piece may end anywhere in an
+/// Assembles objects from the chunks of a stream and scans each byte once. A chunk may end anywhere in an
 /// object, and an object may span several lines. Between two objects only white space is valid, such as the
 /// empty lines of an idle watch.
 pub(super) struct JsonFramer<S = JsonScanner> {
@@ -43,10 +43,10 @@
         JsonFramer { buffer: Vec::new(), object_start: 0, scanned_bytes: 0, scanner, max_object_bytes }
     }
 
-    /// Appends a piece of the stream.
-    pub fn push(&mut self, piece: &[u8]) {
+    /// Appends a chunk of the stream.
+    pub fn push(&mut self, chunk: &[u8]) {
         // All complete objects are removed together, here, so that each byte is moved at most once even if
-        // one piece contains many objects.
+        // one chunk contains many objects.
         if self.object_start > 0 {
             self.buffer.drain(..self.object_start);
             self.scanned_bytes -= self.object_start;
@@ -55,7 +55,7 @@
                 self.buffer = Vec::new();
             }
         }
-        self.buffer.extend_from_slice(piece);
+        self.buffer.extend_from_slice(chunk);
     }
 
     /// Returns the bytes of the next object, or `None` if that object is not complete yet.
@@ -63,7 +63,7 @@
     /// # Errors
     /// Returns an error if the bytes cannot be part of an object, or if the incomplete object is already
     /// larger than the limit. The size is checked only while the object is incomplete, so an object that
-    /// becomes larger than the limit with its last piece is still returned.
+    /// becomes larger than the limit with its last chunk is still returned.
     pub fn next_object(&mut self) -> Result<Option<&[u8]>, DiscoveryError> {
         if !self.scan_to_object_end()? {
             if self.scanned_bytes - self.object_start > self.max_object_bytes {
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -84,13 +84,13 @@
         Ok(Some(list))
     }
 
-    /// Waits for the next piece of the body. Outside of an object, the piece must arrive within
-    /// `idle_timeout`. Within an object, the piece must arrive within [`STALL_TIMEOUT`], and at the latest
+    /// Waits for the next chunk of the body. Outside of an object, the chunk must arrive within
+    /// `idle_timeout`. Within an object, the chunk must arrive within [`STALL_TIMEOUT`], and at the latest
     /// [`OBJECT_TIMEOUT`] after the gateway began to wait for the rest of the object.
     ///
     /// # Errors
-    /// Returns an error if no piece arrives in time, the body has ended or the connection fails.
-    pub async fn read_piece(&mut self, idle_timeout: Duration) -> Result<(), DiscoveryError> {
+    /// Returns an error if no chunk arrives in time, the body has ended or the connection fails.
+    pub async fn read_chunk(&mut self, idle_timeout: Duration) -> Result<(), DiscoveryError> {
         let now = Instant::now();
         if self.framer.in_object() {
             self.object_wait_started_at.get_or_insert(now);
@@ -104,8 +104,8 @@
             Err(_) if self.object_wait_started_at.is_some() => return Err(DiscoveryError::ObjectTimeout),
             Err(_) => return Err(DiscoveryError::IdleTimeout),
         };
-        if let Ok(piece) = frame.into_data() {
-            self.framer.push(&piece);
+        if let Ok(chunk) = frame.into_data() {
+            self.framer.push(&chunk);
         }
         Ok(())
     }
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -120,7 +120,7 @@
             self.apply_received(&mut response)?;
             // If this await is cancelled, the bytes of a partly received list are lost with the connection.
             // The next watch starts after the revision of the last list that was fully received.
-            match response.read_piece(WATCH_IDLE_TIMEOUT).await {
+            match response.read_chunk(WATCH_IDLE_TIMEOUT).await {
                 Ok(()) => self.silent_since = None,
                 Err(error) => return Err(self.handle_watch_error(error)),
             }
@@ -184,7 +184,7 @@
             }
             // If this await is cancelled, the bytes received so far are lost, and the list is requested
             // again.
-            timeout_at(deadline, response.read_piece(STALL_TIMEOUT))
+            timeout_at(deadline, response.read_chunk(STALL_TIMEOUT))
                 .await
                 .map_err(|_| DiscoveryError::ListTimeout)??;
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -18,7 +18,7 @@
 pub(super) struct SlowStart {
     /// Share of its full capacity that a server has when it starts.
     initial_capacity: f64,
-    /// Time from its start until a server has its full capacity, in ms.
+    /// Time from the start of a server until the server has its full capacity, in ms.
     window: Millis,
 }
 
--- a/src/policy/tenant.rs
+++ b/src/policy/tenant.rs
@@ -126,7 +126,7 @@
     /// an equal part of the limit, but at least one attempt. If the limit allows at least one attempt per
     /// gateway, the gateways together therefore never exceed it, although they do not communicate. The cost
     /// is that a tenant whose requests all arrive at one gateway cannot use the parts of the other gateways:
-    /// it has to wait until one of its attempts there ends.
+    /// the tenant has to wait until one of its attempts at that one gateway ends.
     pub(super) fn is_at_in_flight_limit(&self) -> bool {
         let limit = self.plan.max_in_flight;
         limit > 0.0 && self.in_flight >= (limit / self.gateway_count).floor().max(1.0)
