--- a/src/net/client/request_error.rs
+++ b/src/net/client/request_error.rs
@@ -29,7 +29,7 @@
     UnknownPlan,
     /// The tenant in the query is absent, repeated or invalid.
     InvalidTenant,
-    /// The header with the time left is absent, invalid or out of range.
+    /// The `X-Time-Left` header is absent, invalid or out of range.
     InvalidTimeLeft,
     /// The quota header is absent, invalid or out of range.
     InvalidQuota,
--- a/src/net/event_loop/attempts.rs
+++ b/src/net/event_loop/attempts.rs
@@ -28,8 +28,8 @@
                 elapsed: 0.0,
             });
         };
-        // If the attempt cannot be numbered, it is not started and no end of it can be reported to the
-        // policy. The request is then answered at its deadline at the latest.
+        // An attempt without a number is not started, and its outcome cannot be reported to the policy. The
+        // request is then answered at its deadline at the latest.
         let Some(number) = request.start_attempt(server, now) else { return };
         let attempt = AttemptId { request: id, number };
         match self.prepare_attempt(request, attempt, server, timeout, now) {
--- a/src/policy/candidate_set.rs
+++ b/src/policy/candidate_set.rs
@@ -50,8 +50,8 @@
         self.max_size - self.len
     }
 
-    /// Number of servers scanned in the gateway's order: up to the last candidate if the set is full,
-    /// otherwise all servers of the blocks added.
+    /// Number of servers scanned, in the gateway's order: if the set is full, the servers up to the last
+    /// candidate, otherwise all servers of the blocks passed to [`CandidateSet::add`].
     pub(super) fn servers_scanned(&self) -> usize {
         self.servers_scanned
     }
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -16,8 +16,8 @@
 /// Longest pause between calls to an unresponsive counter, ms. Once the counter has recovered, calls are
 /// allowed again within this time.
 const MAX_RETRY_PAUSE: Millis = 800.0;
-/// The counter is considered unresponsive when a call fails and no call has succeeded for this long, ms, or
-/// no call has succeeded yet. A rejection is not a success.
+/// Time, ms, since the last successful call from which a failed call marks the counter as unresponsive. If no
+/// call has succeeded yet, the first failed call does so. A rejected call counts as failed.
 const UNRESPONSIVE_AFTER: Millis = 1000.0;
 /// The counter is considered congested while the backoff factor is above this value.
 const CONGESTION_THRESHOLD: f64 = 1.5;
